--- a/soak/site.ts
+++ b/soak/site.ts
@@ -121,7 +121,7 @@
         const place: WorkerPlace = {
             link,
             getId: () => info?.id,
-            getLifeId: () => info && leader.getLifeId({ name: info.id, bornAt: workers.getBornAt(info.id) }),
+            getLifeId: () => info && leader.getIncarnationId({ name: info.id, startedAt: workers.getBornAt(info.id) }),
             drain: remainingMs => {
                 if (info && !info.draining) {
                     workers.drain(info.id, remainingMs);
--- a/src/emulator/freezer.ts
+++ b/src/emulator/freezer.ts
@@ -63,7 +63,7 @@
             start: (worker, order, timeoutMs) => pass(workers.start(worker, order, timeoutMs)),
             stop: (worker, order, timeoutMs) => pass(workers.stop(worker, order, timeoutMs)),
             pace: (worker, order, timeoutMs) => pass(workers.pace(worker, order, timeoutMs)),
-            look: (worker, order, timeoutMs) => pass(workers.look(worker, order, timeoutMs)),
+            poll: (worker, order, timeoutMs) => pass(workers.poll(worker, order, timeoutMs)),
         }),
         freeze: (ms, suspended) => {
             if (frozen) {
--- a/src/emulator/workerOrders.ts
+++ b/src/emulator/workerOrders.ts
@@ -95,10 +95,10 @@
         const until = deadline + life.clockZeroAt;
         life.deadline = Math.max(life.deadline, Math.min(until, time.now() + options.maxLeaseMs));
     };
-    const look = async (life: workerLife.Life, order: leader.LookOrder): Promise<leader.LookAnswer> => {
+    const look = async (life: workerLife.Life, order: leader.PollOrder): Promise<leader.PollAnswer> => {
         const refusal = checkFence(life, order.fencingToken);
         if (refusal) {
-            return refusal as leader.LookAnswer;
+            return refusal as leader.PollAnswer;
         }
         if (order.deadline !== undefined) {
             prolong(life, order.deadline);
@@ -111,7 +111,7 @@
         return {
             kind: "lists",
             workerClock: workerLife.readClock(life, time.now()),
-            bornAt: life.bornAt,
+            startedAt: life.bornAt,
             running: [...life.runs.values()].map(run => ({
                 task: run.task,
                 run: run.run,
@@ -135,7 +135,7 @@
             life.waiters.add(finish);
         });
 
-    const call = async <T extends leader.OrderAnswer | leader.LookAnswer>(
+    const call = async <T extends leader.OrderAnswer | leader.PollAnswer>(
         worker: leader.WorkerAddress,
         kind: "start" | "stop" | "look" | "pace",
         timeoutMs: number,
@@ -185,7 +185,7 @@
                 kind: "accepted" as const,
                 workerClock: workerLife.readClock(life, time.now()),
             })),
-        look: (worker, order, timeoutMs) =>
-            call(worker, "look", timeoutMs, life => look(life, order)) as Promise<leader.LookAnswer>,
+        poll: (worker, order, timeoutMs) =>
+            call(worker, "look", timeoutMs, life => look(life, order)) as Promise<leader.PollAnswer>,
     };
 }
--- a/src/emulator/workers.ts
+++ b/src/emulator/workers.ts
@@ -307,12 +307,12 @@
 }
 
 function getLifeId({ info, bornAt }: workerLife.Life): string {
-    return leader.getLifeId({ name: info.id, bornAt });
+    return leader.getIncarnationId({ name: info.id, startedAt: bornAt });
 }
 
 function toListed({ report, bornAt }: workerLife.Life): leader.ListedWorker {
     const { id, ...info } = report.info;
-    return { ...info, name: id, bornAt, reportedAt: report.at };
+    return { ...info, name: id, startedAt: bornAt, reportedAt: report.at };
 }
 
 /** Breaches in words, where nothing holds orders up. */
--- a/src/leader/__tests__/crashes.test.ts
+++ b/src/leader/__tests__/crashAttribution.test.ts
@@ -1,6 +1,6 @@
 import * as clocks from "../../clock/index";
 import type * as work from "../../work/index";
-import * as crashes from "../crashes";
+import * as crashes from "../crashAttribution";
 import * as crashHistory from "../crashHistory";
 import * as entries from "../entries";
 import * as fixtures from "./fixtures";
@@ -11,9 +11,9 @@
 const RACK = 4;
 
 function createWorker(number: number, rack = "r0"): entries.WorkerEntry {
-    const info = { ...entries.createUnknownWorker(`w${number}`), address: `a${number}`, rack };
+    const info = { ...entries.createUnknownWorkerInfo(`w${number}`), address: `a${number}`, rack };
     const worker = entries.createWorkerEntry(info);
-    entries.noteHeard(worker, true, CRASHED_AT);
+    entries.setReachable(worker, true, CRASHED_AT);
     return worker;
 }
 
@@ -27,7 +27,7 @@
     const task = fixtures.createTask(`job-of-${worker.id}-${worker.tasks.size}`, step);
     const startedAt = CRASHED_AT - seenMs;
     entries.assign(task, worker);
-    Object.assign(task, { phase: "running", orderedAt: startedAt, runningSince: startedAt, toldAt: CRASHED_AT });
+    Object.assign(task, { phase: "running", orderedAt: startedAt, runningSince: startedAt, lastReportAt: CRASHED_AT });
     return Object.assign(task, fields);
 }
 
@@ -43,14 +43,14 @@
     readonly restarted?: boolean;
     readonly hasNextLife?: boolean;
     /** Meanwhile, with the other workers of its rack. */
-    readonly meanwhile?: (judge: crashes.CrashJudge, workers: readonly entries.WorkerEntry[]) => void;
+    readonly meanwhile?: (judge: crashes.CrashAttribution, workers: readonly entries.WorkerEntry[]) => void;
     /** When the worker is lost, and after the review. */
     readonly atOnce: Counts | undefined;
     readonly reviewed: Counts | undefined;
 }
 
-const noteBack = (judge: crashes.CrashJudge, { info }: entries.WorkerEntry) =>
-    judge.noteWorker({ ...info, id: `${info.id}-again` });
+const noteBack = (judge: crashes.CrashAttribution, { info }: entries.WorkerEntry) =>
+    judge.recordWorkerSeen({ ...info, id: `${info.id}-again` });
 
 const CERTAIN: Counts = [1, 1];
 const LIKELY: Counts = [0.5, 1];
@@ -63,15 +63,15 @@
     { name: "that had just begun, alone", put: worker => addTask(worker, 10), atOnce: CERTAIN, reviewed: CERTAIN },
     {
         name: "that had just begun, and may have ended while its worker was silent",
-        put: worker => addTask(worker, 950, { toldAt: CRASHED_AT - 950 }, { estimateMs: 1_000 }),
+        put: worker => addTask(worker, 950, { lastReportAt: CRASHED_AT - 950 }, { estimateMs: 1_000 }),
         atOnce: LIKELY,
         reviewed: LIKELY,
     },
     {
         name: "that had just begun, and whose connection broke long before the next life answered",
         put: worker => {
-            addTask(worker, 3_000, { toldAt: CRASHED_AT - 3_000 });
-            worker.brokenOffAt = CRASHED_AT - 2_900;
+            addTask(worker, 3_000, { lastReportAt: CRASHED_AT - 3_000 });
+            worker.disconnectedAt = CRASHED_AT - 2_900;
         },
         atOnce: CERTAIN,
         reviewed: CERTAIN,
@@ -79,8 +79,8 @@
     {
         name: "that was confirmed after a connection to its worker broke, and may have ended since",
         put: worker => {
-            addTask(worker, 3_000, { toldAt: CRASHED_AT - 3_000 });
-            worker.brokenOffAt = CRASHED_AT - 3_100;
+            addTask(worker, 3_000, { lastReportAt: CRASHED_AT - 3_000 });
+            worker.disconnectedAt = CRASHED_AT - 3_100;
         },
         atOnce: LIKELY,
         reviewed: LIKELY,
@@ -127,7 +127,7 @@
         name: "on a worker that is only silent, and answers after all",
         put: worker => addTask(worker, 10),
         restarted: false,
-        meanwhile: (judge, [own]) => judge.noteWorker(own!.info),
+        meanwhile: (judge, [own]) => judge.recordWorkerSeen(own!.info),
         atOnce: POSSIBLE,
         reviewed: NOTHING,
     },
@@ -164,7 +164,7 @@
     },
     {
         name: "that its worker no longer listed",
-        put: worker => addTask(worker, 0, { phase: "stopping", stopReason: entries.MISSING }),
+        put: worker => addTask(worker, 0, { phase: "stopping", stopReason: entries.MISSING_RUN_REASON }),
         atOnce: undefined,
         reviewed: undefined,
     },
@@ -186,7 +186,7 @@
         name: "beside two other workers that fell silent",
         put: worker => addTask(worker, 10),
         meanwhile: (_judge, workers) =>
-            workers.slice(1, 3).forEach(worker => entries.noteHeard(worker, false, CRASHED_AT)),
+            workers.slice(1, 3).forEach(worker => entries.setReachable(worker, false, CRASHED_AT)),
         atOnce: CERTAIN,
         reviewed: LIKELY,
     },
@@ -233,20 +233,20 @@
         const time = clocks.createManualClock();
         await time.advance(CRASHED_AT);
         const workers = Array.from({ length: RACK }, (_, number) => createWorker(number));
-        const judge = crashes.createCrashJudge({
+        const judge = crashes.createCrashAttribution({
             clock: time,
             getWorkers: () => workers,
             expectRun: ({ spec }) => spec.estimateMs,
             onReviewed: () => undefined,
         });
-        workers.forEach(worker => judge.noteWorker(worker.info));
+        workers.forEach(worker => judge.recordWorkerSeen(worker.info));
         put(workers[0]!);
         const task = [...workers[0]!.tasks][0]!;
         const before = crashHistory.getCounts(task.crashes);
-        entries.noteHeard(workers[0]!, false, CRASHED_AT);
-        const loss = judge.judge(workers[0]!, { restarted, hasNextLife }).get(task);
+        entries.setReachable(workers[0]!, false, CRASHED_AT);
+        const loss = judge.attributeLoss(workers[0]!, { restarted, hasNextIncarnation: hasNextLife }).get(task);
         if (loss) {
-            crashHistory.noteLoss(task.crashes, loss);
+            crashHistory.recordLoss(task.crashes, loss);
         }
         expect(loss && subtract(task, before)).toEqual(atOnce);
         await time.advance(200);
--- a/src/leader/__tests__/crashHistory.test.ts
+++ b/src/leader/__tests__/crashHistory.test.ts
@@ -17,10 +17,10 @@
     history: crashHistory.CrashHistory,
     mostAgeMs: number,
     certainty: crashHistory.Certainty = Certainty.None,
-): crashHistory.Loss {
+): crashHistory.RunLoss {
     const loss = { mostAgeMs, certainty, isDisproved: false };
-    crashHistory.noteStart(history);
-    crashHistory.noteLoss(history, loss);
+    crashHistory.recordStart(history);
+    crashHistory.recordLoss(history, loss);
     return loss;
 }
 
@@ -54,7 +54,7 @@
         name: "of which three may have crashed their workers, and two more were stopped",
         act: history => {
             times(3, () => lose(history, 100));
-            times(2, () => crashHistory.noteStart(history));
+            times(2, () => crashHistory.recordStart(history));
         },
         ...counts(0, 5),
         isBeyondLimit: true,
@@ -64,7 +64,7 @@
         act: history => {
             times(3, () => lose(history, 100));
             times(2, () => {
-                crashHistory.noteStart(history);
+                crashHistory.recordStart(history);
                 crashHistory.refundStart(history);
             });
         },
@@ -87,7 +87,7 @@
         name: "of which a later one works for much longer than the lost ones",
         act: history => {
             times(2, () => lose(history, 1_000));
-            crashHistory.noteWorked(history, 4_000);
+            crashHistory.recordRunTime(history, 4_000);
         },
         ...counts(0, 0),
     },
@@ -95,14 +95,14 @@
         name: "of which a later one works for a little longer than the lost ones",
         act: history => {
             times(2, () => lose(history, 1_000));
-            crashHistory.noteWorked(history, 3_000);
+            crashHistory.recordRunTime(history, 3_000);
         },
         ...counts(0, 2),
     },
     {
         name: "of which a later one is lost at a much lower age than an earlier one",
         act: history => {
-            crashHistory.noteWorked(history, 7_000);
+            crashHistory.recordRunTime(history, 7_000);
             lose(history, 7_500);
             lose(history, 1_000);
         },
@@ -111,7 +111,7 @@
     {
         name: "that an earlier leader counted, of which a later one works for long",
         stored: counts(1, 2),
-        act: history => crashHistory.noteWorked(history, 60_000),
+        act: history => crashHistory.recordRunTime(history, 60_000),
         ...counts(1, 2),
     },
     {
@@ -133,7 +133,7 @@
         stored: counts(0, 4),
         isPlaced: true,
         act: history =>
-            crashHistory.noteLoss(history, { mostAgeMs: Infinity, certainty: Certainty.None, isDisproved: false }),
+            crashHistory.recordLoss(history, { mostAgeMs: Infinity, certainty: Certainty.None, isDisproved: false }),
         ...counts(0, 4),
     },
 ];
@@ -146,6 +146,6 @@
             : crashHistory.createCrashHistory();
         act(history);
         expect(crashHistory.getCounts(history)).toEqual(counts(expected.knownCrashes, expected.crashBudgetUsed));
-        expect(crashHistory.isBeyondLimit(history)).toBe(isBeyondLimit);
+        expect(crashHistory.isCrashLimitReached(history)).toBe(isBeyondLimit);
     });
 });
--- a/src/leader/__tests__/fixtures.ts
+++ b/src/leader/__tests__/fixtures.ts
@@ -74,7 +74,7 @@
             changed: () => undefined,
         },
         getQueue: () => QUEUE,
-        getExpected: () => ({ objectiveMs: 0, chainMs: 0 }),
+        getExpected: () => ({ objectiveMs: 0, criticalPathMs: 0 }),
         expectRun: () => 1_000,
         getWorkers,
         leftOut: new Set(),
--- a/src/leader/__tests__/firstLooks.test.ts
+++ b/src/leader/__tests__/initialPollLimiter.test.ts
@@ -2,18 +2,18 @@
 // Sequence: a takeover, and looks at all workers in one go. Cause: writing them takes seconds, in which neither the
 // lease is renewed nor an answer read, and workers on which something runs had no turn before the idle ones.
 import * as clocks from "../../clock/index";
-import * as firstLooks from "../firstLooks";
+import * as firstLooks from "../initialPollLimiter";
 
-const { Turn } = firstLooks;
+const { PollPriority: Turn } = firstLooks;
 const MOST = 32;
 
 function createLooks(mostUnderWay?: number) {
     const time = clocks.createManualClock();
-    const looks = firstLooks.createFirstLooks(time, mostUnderWay);
+    const looks = firstLooks.createInitialPollLimiter(time, mostUnderWay);
     const begun: string[] = [];
     const leaves = new Map<string, () => void>();
-    const enter = (name: string, turn: firstLooks.Turn) =>
-        void looks.enter(turn).then(leave => {
+    const enter = (name: string, turn: firstLooks.PollPriority) =>
+        void looks.acquire(turn).then(leave => {
             begun.push(name);
             leaves.set(name, leave);
         });
@@ -27,7 +27,7 @@
 describe("first looks", () => {
     test("workers on which something runs come first, those that were silent last", async () => {
         const { time, begun, enter } = createLooks();
-        enter("silent", Turn.Again);
+        enter("silent", Turn.Retry);
         enter("idle-1", Turn.Idle);
         enter("busy", Turn.Busy);
         enter("idle-2", Turn.Idle);
--- a/src/leader/__tests__/orders.test.ts
+++ b/src/leader/__tests__/orders.test.ts
@@ -41,7 +41,7 @@
         "$name",
         async ({ crashBudgetUsed, answers = true, mayStartThen = true, calls, isSetAside = false }) => {
             const time = clocks.createManualClock(1_000);
-            const worker = entries.createWorkerEntry(entries.createUnknownWorker("w"));
+            const worker = entries.createWorkerEntry(entries.createUnknownWorkerInfo("w"));
             const task = fixtures.createTask("job");
             entries.assign(task, worker);
             const crashes = crashHistory.createCrashHistory({ knownCrashes: 0, crashBudgetUsed });
@@ -49,7 +49,7 @@
             const called: string[] = [];
             let mayStart = true;
             const session: Partial<workerSession.WorkerSession> = {
-                makeContact: async () => {
+                ensureReachable: async () => {
                     called.push("look");
                     mayStart = mayStartThen;
                     return answers;
@@ -77,7 +77,7 @@
             ordersOfTerm.start([{ task, run: 1 }]);
             await time.advance(10);
             expect(called).toEqual(calls);
-            expect(worker.setAsideUntil > time.now()).toBe(isSetAside);
+            expect(worker.quarantinedUntil > time.now()).toBe(isSetAside);
         },
     );
 });
--- a/src/leader/__tests__/restore.test.ts
+++ b/src/leader/__tests__/restore.test.ts
@@ -11,7 +11,7 @@
     const book = fixtures.createBook();
     const job = book.addJob(fixtures.createSubmission("job", { lasting }));
     book.restoreJob(job, RUNNING, 1);
-    const worker = entries.createWorkerEntry(entries.createUnknownWorker("w"));
+    const worker = entries.createWorkerEntry(entries.createUnknownWorkerInfo("w"));
     book.restoreOccurrence(job, 0, [[progress]], 1, () => worker);
     return job;
 }
@@ -39,7 +39,7 @@
     test("with a run that is only to be refused by its worker's next life", () => {
         const task = restore({ ...WAITING, kind: "closing", workerId: "w" }).occurrences.get(0)!.steps[0]!.tasks[0]!;
         expect(task.phase).toBe("stopping");
-        expect(lostRuns.listRuns(task.worker!, { ...fixtures.LIST_OPTIONS, hasNextLife: true })).toEqual([]);
+        expect(lostRuns.listLostRuns(task.worker!, { ...fixtures.LIST_OPTIONS, hasNextIncarnation: true })).toEqual([]);
     });
 
     test("with many failures, and lasts", () => {
--- a/src/leader/__tests__/units.test.ts
+++ b/src/leader/__tests__/units.test.ts
@@ -12,7 +12,7 @@
     const job = book.addJob(fixtures.createSubmission("job", { estimateMs: 9_000 }));
     book.releaseDue();
     const task = job.occurrences.get(0)!.steps[0]!.tasks[0]!;
-    entries.assign(task, entries.createWorkerEntry(entries.createUnknownWorker("w")));
+    entries.assign(task, entries.createWorkerEntry(entries.createUnknownWorkerInfo("w")));
     Object.assign(task, { phase: "running", orderedAt: 0, runningSince: 0, crashes });
     const groups = units.collectGroups([job], {
         now: 2_000,
--- a/src/leader/__tests__/workerRegistry.test.ts
+++ b/src/leader/__tests__/workerRegistry.test.ts
@@ -7,15 +7,15 @@
 import * as fixtures from "./fixtures";
 
 const NAME = "w";
-const FIRST = { name: NAME, bornAt: 1_000 };
-const SECOND = { name: NAME, bornAt: 2_000 };
+const FIRST = { name: NAME, startedAt: 1_000 };
+const SECOND = { name: NAME, startedAt: 2_000 };
 const TASK = "job.0.0.0";
 
 function list(bornAt: number): directory.ListedWorker {
     return {
-        ...entries.createUnknownWorker(""),
+        ...entries.createUnknownWorkerInfo(""),
         name: NAME,
-        bornAt,
+        startedAt: bornAt,
         address: "a:1",
         service: "booking",
         reportedAt: 0,
@@ -29,7 +29,7 @@
     const closed: string[] = [];
     const looks: string[] = [];
     const book = fixtures.createBook({
-        getWorkers: () => registry.all.values(),
+        getWorkers: () => registry.workers.values(),
         stopWanted: task => stops.push(task.worker!.id),
     });
     const registry: workerRegistry.WorkerRegistry = workerRegistry.createWorkerRegistry({
@@ -38,13 +38,13 @@
         leadership: fixtures.LEADERSHIP,
         maxLeaseMs: 6_000,
         book,
-        leaveOutUnknown: listed => listed,
+        filterKnownServices: listed => listed,
         openSession: worker => createSession(() => looks.push(worker.id)),
         closeRun: (worker, task, run) => closed.push(`${worker.id} ${task} ${run}`),
         onChanged: () => undefined,
     });
-    registry.takeDirectory([list(FIRST.bornAt)]);
-    const first = registry.findPresent(NAME)!;
+    registry.applyDirectory([list(FIRST.startedAt)]);
+    const first = registry.findCurrent(NAME)!;
     const job = book.addJob(fixtures.createSubmission("job"));
     book.releaseDue();
     const task = job.occurrences.get(0)!.steps[0]!.tasks[0]!;
@@ -54,18 +54,18 @@
 
 function createSession(lookNow: () => void): workerSession.WorkerSession {
     return {
-        hasContact: () => true,
-        makeContact: async () => true,
+        hasAnsweredWithin: () => true,
+        ensureReachable: async () => true,
         start: async () => ({ kind: "unwell" }),
         stop: async () => ({ kind: "unwell" }),
         pace: async () => ({ kind: "unwell" }),
-        lookNow,
+        pollNow: lookNow,
         close: () => undefined,
     };
 }
 
-function createLists(sentAt: number, fields: Partial<workerSession.WorkerLists> = {}): workerSession.WorkerLists {
-    return { sentAt, running: [], ended: [], complete: true, ...fields };
+function createLists(sentAt: number, fields: Partial<workerSession.PollResult> = {}): workerSession.PollResult {
+    return { sentAt, running: [], ended: [], isEndListComplete: true, ...fields };
 }
 
 const RUNNING = { task: TASK, run: 1, saved: "", percent: 0, recentFigure: 0 };
@@ -74,7 +74,7 @@
 interface Case {
     readonly name: string;
     readonly put: Partial<entries.TaskEntry>;
-    readonly lists: workerSession.WorkerLists;
+    readonly lists: workerSession.PollResult;
     readonly phase: entries.TaskPhase;
     readonly isOnNextLife: boolean;
     readonly crashBudgetUsed: number;
@@ -83,7 +83,7 @@
 const cases: readonly Case[] = [
     {
         name: "that the first life told of is lost with it",
-        put: { phase: "running", orderedAt: 10, runningSince: 20, toldAt: 30 },
+        put: { phase: "running", orderedAt: 10, runningSince: 20, lastReportAt: 30 },
         lists: createLists(100),
         phase: "waiting",
         isOnNextLife: false,
@@ -152,14 +152,14 @@
     test.each(cases)("$name", ({ put, lists, phase, isOnNextLife, crashBudgetUsed }) => {
         const { registry, first, task, stops } = openRegistry();
         Object.assign(task, put);
-        registry.onNextLife(first, SECOND, lists);
-        const next = registry.findPresent(NAME)!;
-        expect(next.life).toEqual(SECOND);
+        registry.onNextIncarnation(first, SECOND, lists);
+        const next = registry.findCurrent(NAME)!;
+        expect(next.incarnation).toEqual(SECOND);
         expect(task.phase).toBe(phase);
         expect(crashHistory.getCounts(task.crashes).crashBudgetUsed).toBe(crashBudgetUsed);
         expect(task.worker === next).toBe(isOnNextLife);
         expect(stops).toEqual(phase === "stopping" ? [next.id] : []);
-        expect([...registry.all.keys()]).toEqual([next.id]);
+        expect([...registry.workers.keys()]).toEqual([next.id]);
     });
 });
 
@@ -167,45 +167,45 @@
 describe("which life is the present one", () => {
     test("an entry that is behind an answer does not bring the earlier life back", () => {
         const { registry, first } = openRegistry();
-        registry.onNextLife(first, SECOND, createLists(100));
-        registry.takeDirectory([list(FIRST.bornAt)]);
-        expect(registry.all.has(first.id)).toBe(false);
-        registry.takeDirectory([list(SECOND.bornAt)]);
-        expect(registry.findPresent(NAME)).toMatchObject({ life: SECOND, listed: true });
+        registry.onNextIncarnation(first, SECOND, createLists(100));
+        registry.applyDirectory([list(FIRST.startedAt)]);
+        expect(registry.workers.has(first.id)).toBe(false);
+        registry.applyDirectory([list(SECOND.startedAt)]);
+        expect(registry.findCurrent(NAME)).toMatchObject({ incarnation: SECOND, listed: true });
     });
 
     test("a life that the directory lists is not asked before the one before has told what became of its tasks", () => {
         const { registry, first, looks } = openRegistry();
-        registry.takeDirectory([list(SECOND.bornAt)]);
+        registry.applyDirectory([list(SECOND.startedAt)]);
         expect(looks).toEqual([first.id]);
-        expect(registry.getSession(registry.findPresent(NAME)!)).toBeUndefined();
-        registry.onNextLife(first, SECOND, createLists(100));
-        expect(registry.getSession(registry.findPresent(NAME)!)).toBeDefined();
+        expect(registry.getSession(registry.findCurrent(NAME)!)).toBeUndefined();
+        registry.onNextIncarnation(first, SECOND, createLists(100));
+        expect(registry.getSession(registry.findCurrent(NAME)!)).toBeDefined();
     });
 
     test("a life that a stored row names is over once the directory lists a later one", () => {
         const { registry, first, task } = openRegistry();
-        const inherited = registry.getLife("v@rs");
+        const inherited = registry.getWorker("v@rs");
         entries.unassign(task);
         entries.assign(task, inherited);
         Object.assign(task, { phase: "running", orderedAt: 10, runningSince: 10, inherited: true });
-        registry.takeDirectory([list(FIRST.bornAt), { ...list(5_000), name: "v", address: "a:2" }]);
-        expect(registry.all.has(inherited.id)).toBe(false);
-        expect(task).toMatchObject({ phase: "stopping", worker: registry.findPresent("v") });
+        registry.applyDirectory([list(FIRST.startedAt), { ...list(5_000), name: "v", address: "a:2" }]);
+        expect(registry.workers.has(inherited.id)).toBe(false);
+        expect(task).toMatchObject({ phase: "stopping", worker: registry.findCurrent("v") });
         expect(first.listed).toBe(true);
     });
 
     test("an entry that does not tell is taken for the newest life known", () => {
         const { registry, first } = openRegistry();
-        registry.takeDirectory([list(0)]);
-        expect(registry.findPresent(NAME)).toBe(first);
+        registry.applyDirectory([list(0)]);
+        expect(registry.findCurrent(NAME)).toBe(first);
     });
 });
 
 // Guards against a start that got no answer, and is carried out by the next life after its run was closed on the one before.
 test("a start that got no answer is closed on the next life too", () => {
     const { registry, first, closed } = openRegistry();
-    first.doubtfulStarts.set("other.0.0.0", 3);
-    registry.onNextLife(first, SECOND, createLists(100));
-    expect(closed).toEqual([`${registry.findPresent(NAME)!.id} other.0.0.0 3`]);
+    first.unconfirmedStarts.set("other.0.0.0", 3);
+    registry.onNextIncarnation(first, SECOND, createLists(100));
+    expect(closed).toEqual([`${registry.findCurrent(NAME)!.id} other.0.0.0 3`]);
 });
--- a/src/leader/__tests__/workerSession.test.ts
+++ b/src/leader/__tests__/workerSession.test.ts
@@ -1,6 +1,6 @@
 import * as clocks from "../../clock/index";
-import * as firstLooks from "../firstLooks";
-import * as lapse from "../lapse";
+import * as firstLooks from "../initialPollLimiter";
+import * as lapse from "../leaseExpiry";
 import type * as port from "../workerPort";
 import * as workerSession from "../workerSession";
 import * as fixtures from "./fixtures";
@@ -14,19 +14,19 @@
 ): workerSession.WorkerSession {
     return workerSession.createWorkerSession({
         worker: { name: "w", address: "a:1" },
-        life: { name: "w", bornAt: 0 },
+        incarnation: { name: "w", startedAt: 0 },
         clock: time,
         log: fixtures.LOG,
         leadership: fixtures.LEADERSHIP,
-        firstLooks: firstLooks.createFirstLooks(time),
+        pollLimiter: firstLooks.createInitialPollLimiter(time),
         maxLeaseMs: MAX_LEASE_MS,
         isBusy: () => true,
-        getWaitMs: () => 500,
-        onLists: async () => undefined,
-        onGone: () => undefined,
-        onNextLife: () => undefined,
-        onHeard: () => undefined,
-        onBrokenOff: () => undefined,
+        getPollWaitMs: () => 500,
+        onPollResult: async () => undefined,
+        onLost: () => undefined,
+        onNextIncarnation: () => undefined,
+        onReachability: () => undefined,
+        onDisconnected: () => undefined,
         onFenced: () => undefined,
         ...options,
     });
@@ -44,9 +44,9 @@
         },
         stop: async () => ({ kind: "accepted", workerClock: getWorkerClock() }),
         pace: async () => ({ kind: "accepted", workerClock: getWorkerClock() }),
-        look: async () => ({ kind: "lists", workerClock: getWorkerClock(), bornAt: 0, running: [], ended: [] }),
+        poll: async () => ({ kind: "lists", workerClock: getWorkerClock(), startedAt: 0, running: [], ended: [] }),
     };
-    const session = createSession(time, { port: worker, isBusy: () => false, getWaitMs: () => 0 });
+    const session = createSession(time, { port: worker, isBusy: () => false, getPollWaitMs: () => 0 });
     await time.advance(500);
     return { time, session, deadlines, getWorkerClock };
 }
@@ -60,7 +60,7 @@
         const sentAt = time.now();
         void session.start({ task: "t", run: 1, payload: "", saved: "" });
         await time.advance(0);
-        await time.advance(lapse.getLapsedAt(sentAt, MAX_LEASE_MS) - sentAt);
+        await time.advance(lapse.getExpiresAt(sentAt, MAX_LEASE_MS) - sentAt);
         expect(deadlines).toHaveLength(1);
         expect(getWorkerClock()).toBeGreaterThan(deadlines[0]!);
         session.close();
@@ -81,16 +81,16 @@
     const time = clocks.createManualClock();
     const begin = (bornAt: number) => ({ bornAt, ends: [] as port.TaskEnd[], forgotten: [] as port.TaskEnd[] });
     const worker = { life: begin(FIRST_BORN_AT) };
-    const nextLives: Array<{ bornAt: number; lists: workerSession.WorkerLists; }> = [];
+    const nextLives: Array<{ bornAt: number; lists: workerSession.PollResult; }> = [];
     const taken: port.TaskEnd[] = [];
     const accepted = async () => ({ kind: "accepted", workerClock: 1 + time.now() } as const);
     const session = createSession(time, {
-        life: { name: "w", bornAt: FIRST_BORN_AT },
+        incarnation: { name: "w", startedAt: FIRST_BORN_AT },
         port: {
             start: accepted,
             stop: accepted,
             pace: accepted,
-            look: async (_worker, { recordedUpTo, waitMs }) => {
+            poll: async (_worker, { recordedUpTo, waitMs }) => {
                 const { life } = worker;
                 life.forgotten.push(...life.ends.filter(end => end.number <= recordedUpTo));
                 life.ends = life.ends.filter(end => end.number > recordedUpTo);
@@ -98,12 +98,18 @@
                     await time.sleep(waitMs);
                 }
                 return life === worker.life
-                    ? { kind: "lists", workerClock: 1 + time.now(), bornAt: life.bornAt, running: [], ended: life.ends }
+                    ? {
+                        kind: "lists",
+                        workerClock: 1 + time.now(),
+                        startedAt: life.bornAt,
+                        running: [],
+                        ended: life.ends,
+                    }
                     : { kind: "unknown", message: "its life is over" };
             },
         },
-        onLists: async ({ ended }) => void taken.push(...ended),
-        onNextLife: ({ bornAt }, lists) => nextLives.push({ bornAt, lists }),
+        onPollResult: async ({ ended }) => void taken.push(...ended),
+        onNextIncarnation: ({ startedAt: bornAt }, lists) => nextLives.push({ bornAt, lists }),
     });
     const end = (number: number) => worker.life.ends.push({ number, task: "t", run: 1, how: "done", saved: "" });
     const restart = () => {
@@ -159,12 +165,12 @@
                 start: refused,
                 stop: refused,
                 pace: refused,
-                look: async (_worker, _order, timeoutMs) => {
+                poll: async (_worker, _order, timeoutMs) => {
                     await time.sleep(Math.min(failsAfterMs, timeoutMs));
                     return { kind: "unknown", message: "" };
                 },
             },
-            onBrokenOff: () => brokenOff++,
+            onDisconnected: () => brokenOff++,
         });
         await time.advance(1_000);
         session.close();
--- a/src/leader/advice.ts
+++ b/src/leader/advice.ts
@@ -36,7 +36,7 @@
         const terms = step.occurrence.job.queue.advice!;
         const sentAt = options.clock.now();
         const timeoutMs = terms.decideMs + terms.eachMs * workers.length + CALL_SLACK_MS;
-        const result = await options.adviser.advise(name, workers.map(worker => worker.life.name), timeoutMs);
+        const result = await options.adviser.advise(name, workers.map(worker => worker.incarnation.name), timeoutMs);
         if (options.signal.aborted) {
             return;
         }
@@ -47,7 +47,7 @@
         else {
             const bad = refused.get(step) ?? new Set<string>();
             workers.forEach(worker => bad.add(worker.id));
-            const asked = new Map(workers.map(worker => [worker.life.name, worker.id]));
+            const asked = new Map(workers.map(worker => [worker.incarnation.name, worker.id]));
             for (const good of result.good) {
                 const workerId = asked.get(good.workerName);
                 if (workerId === undefined) {
--- a/src/leader/book.ts
+++ b/src/leader/book.ts
@@ -7,13 +7,13 @@
 import * as decisions from "../decisions/index";
 import type * as observe from "../observe/index";
 import * as work from "../work/index";
-import type * as crashes from "./crashes";
+import type * as crashes from "./crashAttribution";
 import * as crashHistory from "./crashHistory";
 import * as entries from "./entries";
-import * as lossesOfWorkers from "./losses";
 import * as outcomes from "./outcomes";
 import * as restore from "./restore";
 import * as thrownAways from "./thrownAway";
+import * as lossesOfWorkers from "./workerLosses";
 import type * as port from "./workerPort";
 
 export interface BookListener {
@@ -66,10 +66,10 @@
     loseTasksOf(
         worker: entries.WorkerEntry,
         reason: lossesOfWorkers.LossReason,
-        next?: lossesOfWorkers.NextLife,
+        next?: lossesOfWorkers.NextIncarnation,
     ): void;
     /** Learns whether workers that were lost have crashed. */
-    readonly crashJudge: crashes.CrashJudge;
+    readonly crashJudge: crashes.CrashAttribution;
     /** Drops a job that is over and that nothing runs for. */
     forgetJob(job: entries.JobEntry): void;
 }
@@ -99,7 +99,7 @@
         }
     };
 
-    const { endJob, markDone, markStepDone, countFailure, endFailed } = outcomes.createOutcomes({
+    const { endJob, markDone, markStepDone, countFailure, failOccurrence: endFailed } = outcomes.createOutcomes({
         clock: time,
         log,
         meter,
@@ -107,8 +107,8 @@
         getExpected: options.getExpected,
         expectRun: options.expectRun,
         leftOut: options.leftOut,
-        onOver: job => active.delete(job),
-        stopAll,
+        onJobEnded: job => active.delete(job),
+        stopOccurrence: stopAll,
     });
 
     const toWaiting = (task: entries.TaskEntry) => {
@@ -187,7 +187,7 @@
         }
     };
 
-    const losses = lossesOfWorkers.createLosses({
+    const losses = lossesOfWorkers.createWorkerLosses({
         clock: time,
         log,
         meter,
@@ -195,10 +195,10 @@
         getWorkers: options.getWorkers,
         expectRun: options.expectRun,
         countThrownAway,
-        toWaiting,
-        breakGang,
+        requeue: toWaiting,
+        stopOtherMembers: breakGang,
         stopWanted: listener.stopWanted,
-        giveUp: task => endFailed(task.step.occurrence),
+        failOccurrence: task => endFailed(task.step.occurrence),
         occurrenceChanged: listener.occurrenceChanged,
     });
 
@@ -210,7 +210,7 @@
         endFailed,
         requestStop: (task, reason) => book.requestStop(task, reason),
         stopAll,
-        judge: losses.judge,
+        judge: losses.enforceCrashLimit,
     });
 
     const book: Book = {
@@ -237,7 +237,7 @@
             job.cancelled = true;
             endJob(job, "cancelled");
             for (const occurrence of job.occurrences.values()) {
-                occurrence.over = true;
+                occurrence.isEnded = true;
                 stopAll(occurrence, "jobCancelled");
             }
         },
@@ -248,7 +248,7 @@
             for (const job of active) {
                 const count = work.getOccurrenceCount(job.submission.spec);
                 for (let number = 0; number < count; number++) {
-                    if (job.ended.has(number) || job.occurrences.has(number)) {
+                    if (job.endedOccurrences.has(number) || job.occurrences.has(number)) {
                         continue;
                     }
                     const dueAt = work.getDueAt(job.submission.spec, number);
@@ -266,7 +266,7 @@
             const run = Math.max(...members.map(member => member.run)) + 1;
             members.forEach((task, index) => {
                 task.run = run;
-                crashHistory.noteStart(task.crashes);
+                crashHistory.recordStart(task.crashes);
                 task.phase = "recording";
                 task.stopAcceptedAt = undefined;
                 task.percent = 0;
@@ -283,7 +283,7 @@
             }
             task.phase = "running";
             task.runningSince = time.now();
-            task.progressAt = time.now();
+            task.lastProgressAt = time.now();
             const { job } = task.step.occurrence;
             if (job.state === "queued") {
                 job.state = "running";
@@ -298,7 +298,7 @@
             crashHistory.refundStart(task.crashes);
             toWaiting(task);
             breakGang(task, "gangIncomplete");
-            losses.judge(task);
+            losses.enforceCrashLimit(task);
         },
         requestStop: (task, reason) => {
             switch (task.phase) {
@@ -306,7 +306,7 @@
                     entries.unassign(task);
                     crashHistory.refundStart(task.crashes);
                     toWaiting(task);
-                    losses.judge(task);
+                    losses.enforceCrashLimit(task);
                     break;
                 case "ordered":
                 case "running":
@@ -315,7 +315,7 @@
                     task.stopAcceptedAt = undefined;
                     listener.stopWanted(task);
                     // The other members may well be where they were started.
-                    breakGang(task, reason === entries.MISSING ? "gangIncomplete" : reason);
+                    breakGang(task, reason === entries.MISSING_RUN_REASON ? "gangIncomplete" : reason);
                     break;
                 case "waiting":
                 case "stopping":
@@ -345,7 +345,7 @@
                 return;
             }
             if (end.how === "done" && !task.step.spec.lasting) {
-                worker.failuresInRow = 0;
+                worker.consecutiveFailures = 0;
                 if (task.step.spec.gang) {
                     countGangWait(task.step);
                 }
@@ -357,7 +357,7 @@
                 countThrownAway(task, wasStopping ? thrownAways.getCause(task.stopReason) : end.how);
             }
             if (wasStopping && task.stopReason.startsWith("preempted")) {
-                task.restsUntil = options.leftOut.has("rests") ? 0 : time.now() + decisions.REST_MS;
+                task.backoffUntil = options.leftOut.has("rests") ? 0 : time.now() + decisions.REST_MS;
                 task.preemptions++;
             }
             toWaiting(task);
@@ -376,27 +376,27 @@
                 });
             }
             breakGang(task, `gang member ended: ${end.how}`);
-            losses.judge(task);
+            losses.enforceCrashLimit(task);
         },
         takeProgress: (task, told) => {
             keepSaved(task, told.saved);
             task.recentFigure = told.recentFigure;
-            task.toldAt = time.now();
+            task.lastReportAt = time.now();
             if (told.percent > 0) {
-                crashHistory.noteWorked(task.crashes, entries.getSeenMs(task));
+                crashHistory.recordRunTime(task.crashes, entries.getObservedMs(task));
             }
-            task.worker?.doubtfulStarts.delete(task.name);
+            task.worker?.unconfirmedStarts.delete(task.name);
             decisions.takeSample(task.speed, told.percent, time.now());
             if (task.phase === "ordered") {
                 book.confirmRunning(task);
             }
             if (told.percent > task.percent) {
                 task.percent = told.percent;
-                task.progressAt = time.now();
+                task.lastProgressAt = time.now();
             }
         },
         loseTasksOf: losses.loseTasksOf,
-        crashJudge: losses.crashJudge,
+        crashJudge: losses.crashAttribution,
         forgetJob: job => {
             jobs.delete(job.submission.jobId);
             for (const occurrence of job.occurrences.values()) {
--- a/src/leader/crashes.ts
+++ b/src/leader/crashAttribution.ts
@@ -28,17 +28,17 @@
     readonly worker: entries.WorkerEntry;
     readonly silentSince: number;
     readonly at: number;
-    readonly freshJobs: ReadonlySet<entries.JobEntry>;
+    readonly recentJobs: ReadonlySet<entries.JobEntry>;
     /** It was about to be taken away. */
-    readonly leaves: boolean;
+    readonly wasLeaving: boolean;
     restarted: boolean;
     /** The same life of the worker has answered again: it was only out of reach. */
     disproved: boolean;
     /** What each task is told of it. */
-    readonly told: ReadonlyMap<lostRuns.LostRun, crashHistory.Loss>;
+    readonly told: ReadonlyMap<lostRuns.LostRun, crashHistory.RunLoss>;
 }
 
-export interface CrashJudgeOptions {
+export interface CrashAttributionOptions {
     readonly clock: clock.Clock;
     getWorkers(): Iterable<entries.WorkerEntry>;
     /** How long a run of the step's tasks is expected to take. */
@@ -47,23 +47,23 @@
     onReviewed(task: entries.TaskEntry, hasChanged: boolean): void;
 }
 
-export interface CrashJudge {
+export interface CrashAttribution {
     /** Of the runs that are lost with the worker now. */
-    judge(worker: entries.WorkerEntry, how: HowLost): ReadonlyMap<entries.TaskEntry, crashHistory.Loss>;
+    attributeLoss(worker: entries.WorkerEntry, how: HowLost): ReadonlyMap<entries.TaskEntry, crashHistory.RunLoss>;
     /** The directory lists the worker, or it answers. */
-    noteWorker(worker: Place & Pick<entries.WorkerInfo, "id">): void;
+    recordWorkerSeen(worker: Place & Pick<entries.WorkerInfo, "id">): void;
 }
 
 interface HowLost {
     /** Another life of it is there, or another worker at its address. */
     readonly restarted: boolean;
     /** It has started again under its name. */
-    readonly hasNextLife: boolean;
+    readonly hasNextIncarnation: boolean;
 }
 
 type Place = Pick<entries.WorkerInfo, "address" | "rack">;
 
-export function createCrashJudge(options: CrashJudgeOptions): CrashJudge {
+export function createCrashAttribution(options: CrashAttributionOptions): CrashAttribution {
     const { clock: time } = options;
     /** The latest of each worker, the oldest first. */
     const losses = new Map<string, Loss>();
@@ -82,15 +82,15 @@
         since !== undefined && Math.abs(since - loss.silentSince) <= SILENT_TOGETHER_MS;
     function* listSilent(loss: Loss): Iterable<string> {
         for (const other of losses.values()) {
-            if (isLostTogether(loss, other.silentSince) && !intersect(loss.freshJobs, other.freshJobs)) {
+            if (isLostTogether(loss, other.silentSince) && !intersect(loss.recentJobs, other.recentJobs)) {
                 yield other.worker.info.address;
             }
         }
         for (const other of options.getWorkers()) {
-            const freshJobs = isLostTogether(loss, other.silentSince)
-                ? lostRuns.listFreshJobs(lostRuns.listRuns(other, options))
+            const freshJobs = isLostTogether(loss, other.unreachableSince)
+                ? lostRuns.getRecentJobs(lostRuns.listLostRuns(other, options))
                 : undefined;
-            if (freshJobs && !intersect(loss.freshJobs, freshJobs)) {
+            if (freshJobs && !intersect(loss.recentJobs, freshJobs)) {
                 yield other.info.address;
             }
         }
@@ -100,7 +100,7 @@
         const ownAt = restarts.get(ownAddress)?.at;
         for (const [address, other] of ownAt === undefined ? [] : restarts) {
             const related = lossesByAddress.get(address);
-            const isRelated = related !== undefined && intersect(loss.freshJobs, related.freshJobs);
+            const isRelated = related !== undefined && intersect(loss.recentJobs, related.recentJobs);
             if (other.rack === rack && Math.abs(other.at - ownAt!) <= BACK_TOGETHER_MS && !isRelated) {
                 yield address;
             }
@@ -111,10 +111,10 @@
     /** Whether others of its rack are back at the same time, which were not lost to the same job. */
     const isRackBack = (loss: Loss) => hasOthers(listBack(loss), loss.worker.info.address, LEAST_BACK);
     const judgeLoss = (loss: Loss): boolean => {
-        const certainties = lostRuns.judgeAll([...loss.told.keys()], {
+        const certainties = lostRuns.attributeCrashes([...loss.told.keys()], {
             ...loss,
-            areOthersSilent: areOthersSilent(loss),
-            isRackBack: isRackBack(loss),
+            wereOthersUnreachable: areOthersSilent(loss),
+            didRackRestart: isRackBack(loss),
         });
         let hasChanged = false;
         for (const [run, told] of loss.told) {
@@ -141,7 +141,7 @@
         }
     };
     return {
-        judge: (worker, { restarted, hasNextLife }) => {
+        attributeLoss: (worker, { restarted, hasNextIncarnation: hasNextLife }) => {
             forgetOld();
             if (restarted) {
                 noteRestart(worker.info);
@@ -149,20 +149,22 @@
             const leaves = worker.info.draining || worker.reserved;
             const succeededAt = restarted ? time.now() : undefined;
             const { expectRun } = options;
-            const runs = lostRuns.listRuns(worker, { succeededAt, hasNextLife, expectRun }).filter(run =>
-                !run.isProven
-            );
+            const runs = lostRuns.listLostRuns(worker, {
+                successorSeenAt: succeededAt,
+                hasNextIncarnation: hasNextLife,
+                expectRun,
+            }).filter(run => !run.isProven);
             if (runs.length === 0) {
                 return new Map();
             }
             const at = time.now();
-            const silentSince = worker.silentSince ?? at;
+            const silentSince = worker.unreachableSince ?? at;
             const loss: Loss = {
                 worker,
                 silentSince,
                 at,
-                freshJobs: lostRuns.listFreshJobs(runs),
-                leaves,
+                recentJobs: lostRuns.getRecentJobs(runs),
+                wasLeaving: leaves,
                 restarted,
                 disproved: false,
                 told: new Map(runs.map(run => [run, createLoss(run)])),
@@ -173,7 +175,7 @@
             time.setTimer(REVIEW_MS, () => review(loss));
             return new Map([...loss.told].map(([{ task }, told]) => [task, told]));
         },
-        noteWorker: ({ id, address, rack }) => {
+        recordWorkerSeen: ({ id, address, rack }) => {
             const before = lastIds.get(address);
             lastIds.set(address, id);
             const loss = losses.get(id);
@@ -188,7 +190,7 @@
     };
 }
 
-function createLoss({ mostAgeMs }: lostRuns.LostRun): crashHistory.Loss {
+function createLoss({ mostAgeMs }: lostRuns.LostRun): crashHistory.RunLoss {
     return { mostAgeMs, certainty: crashHistory.Certainty.None, isDisproved: false };
 }
 
--- a/src/leader/crashHistory.ts
+++ b/src/leader/crashHistory.ts
@@ -26,7 +26,7 @@
 export type Certainty = typeof Certainty[keyof typeof Certainty];
 
 /** A run that was lost with its worker. */
-export interface Loss {
+export interface RunLoss {
     /** How old the run was at most when its worker's life was over; `Infinity` where that is not known. */
     readonly mostAgeMs: number;
     certainty: Certainty;
@@ -37,13 +37,13 @@
 export interface CrashHistory {
     /** Counted by earlier leaders. */
     readonly stored: CrashCounts;
-    readonly losses: Loss[];
+    readonly losses: RunLoss[];
     /** Starts that count whether or not they ended in a loss. */
     chargedStarts: number;
     /** The current run's start is one of them. */
     isStartCharged: boolean;
     /** The longest time for which a run of the task is known to have worked. */
-    workedMs: number;
+    longestRunMs: number;
 }
 
 /** So many known crashes are enough to give a task up. */
@@ -60,7 +60,7 @@
 const NONE: CrashCounts = { knownCrashes: 0, crashBudgetUsed: 0 };
 
 export function createCrashHistory(stored = NONE): CrashHistory {
-    return { stored, losses: [], chargedStarts: 0, isStartCharged: false, workedMs: 0 };
+    return { stored, losses: [], chargedStarts: 0, isStartCharged: false, longestRunMs: 0 };
 }
 
 /** `isPlaced`: a run is under way, whose start may have been counted when it was placed. */
@@ -76,7 +76,7 @@
     };
 }
 
-export function getCounts({ stored, losses, chargedStarts, workedMs }: CrashHistory): CrashCounts {
+export function getCounts({ stored, losses, chargedStarts, longestRunMs: workedMs }: CrashHistory): CrashCounts {
     const standing = losses.filter(loss => !loss.isDisproved && loss.mostAgeMs + OUTLIVED_BY_MS >= workedMs);
     const crashes = stored.crashBudgetUsed + standing.length;
     return {
@@ -86,7 +86,7 @@
 }
 
 /** The task is about to be started again. */
-export function noteStart(history: CrashHistory): void {
+export function recordStart(history: CrashHistory): void {
     history.isStartCharged = getCounts(history).crashBudgetUsed >= CRASHES_BEFORE_CHARGE;
     history.chargedStarts += Number(history.isStartCharged);
 }
@@ -97,22 +97,22 @@
     history.isStartCharged = false;
 }
 
-export function noteLoss(history: CrashHistory, loss: Loss): void {
+export function recordLoss(history: CrashHistory, loss: RunLoss): void {
     refundStart(history);
     history.losses.push(loss);
 }
 
-export function noteWorked(history: CrashHistory, workedMs: number): void {
-    history.workedMs = Math.max(history.workedMs, workedMs);
+export function recordRunTime(history: CrashHistory, workedMs: number): void {
+    history.longestRunMs = Math.max(history.longestRunMs, workedMs);
 }
 
 /** Whether a worker may have crashed under the task. */
-export function wasLost(history: CrashHistory): boolean {
+export function mayHaveCrashedWorker(history: CrashHistory): boolean {
     return getCounts(history).crashBudgetUsed > 0;
 }
 
 /** Whether the task is not started again: it is given up, or its latest loss is yet to be reviewed. */
-export function isBeyondLimit(history: CrashHistory): boolean {
+export function isCrashLimitReached(history: CrashHistory): boolean {
     const { knownCrashes, crashBudgetUsed } = getCounts(history);
     return knownCrashes >= ENOUGH_CRASHES || crashBudgetUsed >= CRASH_BUDGET;
 }
--- a/src/leader/directory.ts
+++ b/src/leader/directory.ts
@@ -10,7 +10,7 @@
     /** Of the worker; its next life has it too. */
     readonly name: string;
     /** When its life began, in Unix milliseconds; 0 where it does not tell. */
-    readonly bornAt: number;
+    readonly startedAt: number;
     /** Monotonic time after which the worker said so of itself. */
     readonly reportedAt: number;
 }
--- a/src/leader/entries.ts
+++ b/src/leader/entries.ts
@@ -3,7 +3,7 @@
 import * as decisions from "../decisions/index";
 import * as work from "../work/index";
 import * as crashHistory from "./crashHistory";
-import * as lives from "./life";
+import * as lives from "./incarnation";
 
 /**
  * - waiting: on no worker.
@@ -34,15 +34,15 @@
     orderedAt: number;
     runningSince: number;
     /** When its start was given up as unanswered; undefined while it is answered or under way. */
-    unansweredAt: number | undefined;
+    startTimedOutAt: number | undefined;
     /** When the worker accepted the stop; undefined until then. */
     stopAcceptedAt: number | undefined;
     stopReason: string;
     /** Latest progress in percent, and when it last rose. */
     percent: number;
-    progressAt: number;
+    lastProgressAt: number;
     /** When its worker last told of its progress. */
-    toldAt: number;
+    lastReportAt: number;
     /** An earlier leader ordered the current run: when it began is not known. */
     inherited: boolean;
     /** How fast the current run goes. */
@@ -59,7 +59,7 @@
     readonly failedOn: Set<string>;
     waitingSince: number;
     /** Not started before: it was stopped for urgent work, which would soon take its room again. */
-    restsUntil: number;
+    backoffUntil: number;
 }
 
 export interface StepEntry {
@@ -70,9 +70,9 @@
     readonly tasks: TaskEntry[];
     doneCount: number;
     /** Latest run of a gang that was counted as failed: its other members' ends must not count again. */
-    failedRun: number;
+    lastFailedRun: number;
     /** Workers that were set aside since the step failed there as soon as it began. */
-    readonly blamedWorkers: Set<string>;
+    readonly earlyFailureWorkers: Set<string>;
     /** Since when the step may start: its earlier steps are done. */
     readySince: number | undefined;
     /** Tickets of the adviser by worker, each with the time until which it holds. */
@@ -87,7 +87,7 @@
     rowVersion: number;
     /** When it is due on the wall clock, for scheduled jobs. */
     readonly dueAt: number | undefined;
-    over: boolean;
+    isEnded: boolean;
 }
 
 export interface JobEntry {
@@ -97,12 +97,12 @@
     state: work.JobState;
     cancelled: boolean;
     failed: boolean;
-    readonly ended: Set<number>;
+    readonly endedOccurrences: Set<number>;
     readonly occurrences: Map<number, OccurrenceEntry>;
     rowVersion: number;
     endedAt: number;
     /** Milliseconds on the monotonic clock at which the leader took note of the job. */
-    readonly knownAt: number;
+    readonly learnedAt: number;
 }
 
 export interface WorkerInfo {
@@ -122,21 +122,21 @@
 export interface WorkerEntry {
     /** Of one life of the worker: nothing here outlives it. */
     readonly id: string;
-    readonly life: lives.Life;
+    readonly incarnation: lives.Incarnation;
     info: WorkerInfo;
     /** After this time it said of itself what `info` says; `undefined`: it is not listed. */
     reportedAt: number | undefined;
     /** Whether the directory still lists it. */
     listed: boolean;
     /** Whether it answered the latest look, and under our fencing token. */
-    heard: boolean;
+    reachable: boolean;
     /** When it answered last, if it has not answered since; `undefined` while it answers or has not been asked. */
-    silentSince: number | undefined;
-    heardAt: number | undefined;
+    unreachableSince: number | undefined;
+    lastAnswerAt: number | undefined;
     /** When a connection to it first broke or was refused since it answered last; `undefined`: none was. */
-    brokenOffAt: number | undefined;
+    disconnectedAt: number | undefined;
     /** No new task before this time. */
-    setAsideUntil: number;
+    quarantinedUntil: number;
     /** To be emptied for its machine's upkeep. */
     reserved: boolean;
     /** When the directory first said that it drains. */
@@ -144,11 +144,11 @@
     readonly tasks: Set<TaskEntry>;
     readonly used: decisions.MutableRoom;
     /** Tasks that run there without our knowledge; none is started until they are gone. */
-    strangers: number;
+    unknownRunCount: number;
     /** Starts that got no answer, by task: the run of each. They may be carried out late, also by the next life. */
-    readonly doubtfulStarts: Map<string, number>;
+    readonly unconfirmedStarts: Map<string, number>;
     /** Consecutive failed runs without a success; more for those that failed as soon as they began. */
-    failuresInRow: number;
+    consecutiveFailures: number;
 }
 
 export function createJobEntry(submission: work.Submission, queue: catalog.Queue, now: number): JobEntry {
@@ -158,11 +158,11 @@
         state: "queued",
         cancelled: false,
         failed: false,
-        ended: new Set(),
+        endedOccurrences: new Set(),
         occurrences: new Map(),
         rowVersion: 0,
         endedAt: 0,
-        knownAt: now,
+        learnedAt: now,
     };
 }
 
@@ -173,7 +173,7 @@
         steps: [],
         rowVersion: 0,
         dueAt: work.getDueAt(job.submission.spec, number),
-        over: false,
+        isEnded: false,
     };
     job.submission.spec.steps.forEach((spec, stepNumber) => {
         const step: StepEntry = {
@@ -183,8 +183,8 @@
             needs: work.getCountedNeeds(spec),
             tasks: [],
             doneCount: 0,
-            failedRun: 0,
-            blamedWorkers: new Set(),
+            lastFailedRun: 0,
+            earlyFailureWorkers: new Set(),
             readySince: spec.after.length === 0 ? now : undefined,
             tickets: new Map(),
         };
@@ -211,12 +211,12 @@
         worker: undefined,
         orderedAt: 0,
         runningSince: 0,
-        unansweredAt: undefined,
+        startTimedOutAt: undefined,
         stopAcceptedAt: undefined,
         stopReason: "",
         percent: 0,
-        progressAt: 0,
-        toldAt: 0,
+        lastProgressAt: 0,
+        lastReportAt: 0,
         inherited: false,
         speed: decisions.createSpeedTrack(),
         stalls: 0,
@@ -225,29 +225,29 @@
         pacePercent: 100,
         failedOn: new Set(),
         waitingSince: now,
-        restsUntil: 0,
+        backoffUntil: 0,
     };
 }
 
 export function createWorkerEntry(info: WorkerInfo): WorkerEntry {
     return {
         id: info.id,
-        life: lives.parseLifeId(info.id),
+        incarnation: lives.parseIncarnationId(info.id),
         info,
         reportedAt: undefined,
         listed: true,
-        heard: false,
-        silentSince: undefined,
-        heardAt: undefined,
-        brokenOffAt: undefined,
-        setAsideUntil: 0,
+        reachable: false,
+        unreachableSince: undefined,
+        lastAnswerAt: undefined,
+        disconnectedAt: undefined,
+        quarantinedUntil: 0,
         reserved: false,
         drainingSince: undefined,
         tasks: new Set(),
         used: decisions.copyRoom(work.EMPTY_ROOM),
-        strangers: 0,
-        doubtfulStarts: new Map(),
-        failuresInRow: 0,
+        unknownRunCount: 0,
+        unconfirmedStarts: new Map(),
+        consecutiveFailures: 0,
     };
 }
 
@@ -274,7 +274,7 @@
 }
 
 /** A worker of which only the id is known. */
-export function createUnknownWorker(id: string): WorkerInfo {
+export function createUnknownWorkerInfo(id: string): WorkerInfo {
     return {
         id,
         address: "",
@@ -289,15 +289,15 @@
 }
 
 /** A lasting task is at work once its start is over, which its worker tells as 100 percent. */
-export function isAtWork(task: TaskEntry): boolean {
-    return task.phase === "running" && task.percent >= AT_WORK_PERCENT;
+export function isAvailable(task: TaskEntry): boolean {
+    return task.phase === "running" && task.percent >= AVAILABLE_PERCENT;
 }
 
-const AT_WORK_PERCENT = 100;
+const AVAILABLE_PERCENT = 100;
 
 /** Tasks of a lasting step that are not at work, whatever the cause. */
-export function countAway(step: StepEntry): number {
-    return step.tasks.filter(task => !isAtWork(task)).length;
+export function countUnavailable(step: StepEntry): number {
+    return step.tasks.filter(task => !isAvailable(task)).length;
 }
 
 /** When the current run began, for what is known: a start without an answer may have been carried out when ordered. */
@@ -306,27 +306,27 @@
 }
 
 /** For how long, from the start of the current run, its worker has told of it; 0: it never did. */
-export function getSeenMs(task: TaskEntry): number {
-    return Math.max(0, task.toldAt - getStartedAt(task));
+export function getObservedMs(task: TaskEntry): number {
+    return Math.max(0, task.lastReportAt - getStartedAt(task));
 }
 
 /** Takes note of whether the worker has answered a look. */
-export function noteHeard(worker: WorkerEntry, heard: boolean, now: number): void {
-    worker.heard = heard;
+export function setReachable(worker: WorkerEntry, heard: boolean, now: number): void {
+    worker.reachable = heard;
     if (heard) {
-        worker.heardAt = now;
-        worker.silentSince = undefined;
-        worker.brokenOffAt = undefined;
+        worker.lastAnswerAt = now;
+        worker.unreachableSince = undefined;
+        worker.disconnectedAt = undefined;
     }
     else {
-        worker.silentSince ??= worker.heardAt ?? now;
+        worker.unreachableSince ??= worker.lastAnswerAt ?? now;
     }
 }
 
 /** Why a run is stopped that its worker does not list any more. */
-export const MISSING = "missing";
+export const MISSING_RUN_REASON = "missing";
 
 /** Whether nothing of the run is there any more, as far as is known, and its worker is only to refuse a late start. */
 export function isClosing(task: TaskEntry): boolean {
-    return task.phase === "stopping" && task.stopReason === MISSING;
+    return task.phase === "stopping" && task.stopReason === MISSING_RUN_REASON;
 }
--- a/src/leader/execution.ts
+++ b/src/leader/execution.ts
@@ -2,15 +2,15 @@
 import * as decisions from "../decisions/index";
 import type * as observe from "../observe/index";
 import type * as bookOfTasks from "./book";
-import type * as contacts from "./contact";
 import type * as entries from "./entries";
 import type * as ordersOfTerm from "./orders";
+import type * as contacts from "./reachabilityCheck";
 import type * as units from "./units";
 
 export interface ExecutionOptions {
     readonly book: bookOfTasks.Book;
     readonly orders: ordersOfTerm.Orders;
-    readonly contact: contacts.Contact;
+    readonly contact: contacts.ReachabilityCheck;
     readonly log: observe.Log;
     readonly meter: observe.Meter;
     getWorker(id: string): entries.WorkerEntry;
@@ -32,7 +32,7 @@
     }
     const tasksByUnit = new Map(pass.waiting.map(item => [item.unit.key, item.tasks]));
     const isSure = ({ unit, workerIds }: decisions.PlannedStart) =>
-        options.contact.isSure(tasksByUnit.get(unit.key)!, workerIds.map(options.getWorker));
+        options.contact.mayPlace(tasksByUnit.get(unit.key)!, workerIds.map(options.getWorker));
     const placed = pass.plan.starts
         .filter(isSure)
         .flatMap(start => placeUnit(options, start, tasksByUnit.get(start.unit.key)!));
--- a/src/leader/blame.ts
+++ b/src/leader/failingWorkers.ts
@@ -24,28 +24,28 @@
 const SUSPECT_FAILURES = 2;
 const SUSPECT_ASIDE_MS = 5_000;
 
-export interface BlameOptions {
+export interface FailingWorkerOptions {
     readonly now: number;
     readonly leftOut: ReadonlySet<decisions.Mechanism>;
     readonly log: observe.Log;
 }
 
 /** Takes note of a failed run; `expectedMs` is what it was expected to take. */
-export function blameWorker(
+export function recordFailedRun(
     worker: entries.WorkerEntry,
     task: entries.TaskEntry,
     expectedMs: number,
-    { now, leftOut }: Omit<BlameOptions, "log">,
+    { now, leftOut }: Omit<FailingWorkerOptions, "log">,
 ): void {
     const { step } = task;
     const ranMs = now - Math.max(task.orderedAt, task.runningSince);
     if (leftOut.has("earlyFailures") || ranMs > Math.max(LEAST_EARLY_MS, EARLY_SHARE * expectedMs)) {
-        worker.failuresInRow++;
+        worker.consecutiveFailures++;
         return;
     }
-    if (step.blamedWorkers.size < getMostBlamed(step)) {
-        step.blamedWorkers.add(worker.id);
-        worker.failuresInRow = SUSPECT_FAILURES;
+    if (step.earlyFailureWorkers.size < getMostBlamed(step)) {
+        step.earlyFailureWorkers.add(worker.id);
+        worker.consecutiveFailures = SUSPECT_FAILURES;
     }
 }
 
@@ -55,11 +55,11 @@
 }
 
 /** Sets aside a worker that is to blame. */
-export function judgeFailures(worker: entries.WorkerEntry, { now, leftOut, log }: BlameOptions): void {
-    if (worker.failuresInRow < SUSPECT_FAILURES || leftOut.has("failingWorkers")) {
+export function quarantineIfFailing(worker: entries.WorkerEntry, { now, leftOut, log }: FailingWorkerOptions): void {
+    if (worker.consecutiveFailures < SUSPECT_FAILURES || leftOut.has("failingWorkers")) {
         return;
     }
-    worker.failuresInRow = 0;
-    worker.setAsideUntil = now + SUSPECT_ASIDE_MS;
+    worker.consecutiveFailures = 0;
+    worker.quarantinedUntil = now + SUSPECT_ASIDE_MS;
     log.warn("workerSuspect", { worker: worker.id, reason: "failures" });
 }
--- a/src/leader/gauges.ts
+++ b/src/leader/gauges.ts
@@ -38,7 +38,7 @@
     if (placeable) {
         return "placeable";
     }
-    if (!worker.heard) {
+    if (!worker.reachable) {
         return "silent";
     }
     return worker.info.draining ? "draining" : "setAside";
--- a/src/leader/index.ts
+++ b/src/leader/index.ts
@@ -5,17 +5,17 @@
 export { createHandoverPort, createHandoverRoutes } from "./handoverCalls";
 export type { Leadership } from "./heldLease";
 export { type HolderWatch } from "./holderWatch";
+export { getIncarnationId } from "./incarnation";
 export { createLease, type Lease, type LeaseObservation } from "./lease";
 export { type LeaseRecord } from "./leaseRecord";
-export { getLifeId } from "./life";
 export type { Machine, MachineService, MachinesResult, UpkeepAnswer, UpkeepOrder, Wave, WaveBoard } from "./machines";
 export { createTerm, type Term, type TermOptions } from "./term";
 export type {
     EndKind,
-    LookAnswer,
-    LookOrder,
     OrderAnswer,
     PaceOrder,
+    PollAnswer,
+    PollOrder,
     RefusalReason,
     RunningTask,
     RunOrder,
--- a/src/leader/firstLooks.ts
+++ b/src/leader/initialPollLimiter.ts
@@ -11,21 +11,21 @@
  */
 import type * as clock from "../clock/index";
 
-export interface FirstLooks {
+export interface InitialPollLimiter {
     /** Resolves when the look may go out, with what has to be called once it was answered, or was not. */
-    enter(turn: Turn): Promise<() => void>;
+    acquire(turn: PollPriority): Promise<() => void>;
 }
 
 /** Lower goes first. */
-export const Turn = { Busy: 0, Idle: 1, Again: 2 } as const;
-export type Turn = typeof Turn[keyof typeof Turn];
+export const PollPriority = { Busy: 0, Idle: 1, Retry: 2 } as const;
+export type PollPriority = typeof PollPriority[keyof typeof PollPriority];
 
 /** A look costs about a millisecond here and one on the way, so that many keep both ends at work. */
 const MOST_UNDER_WAY = 32;
 /** A silent worker keeps the others waiting no longer: a live one answers within some 10 ms. */
 const LONGEST_TURN_MS = 100;
 
-export function createFirstLooks(time: clock.Clock, mostUnderWay = MOST_UNDER_WAY): FirstLooks {
+export function createInitialPollLimiter(time: clock.Clock, mostUnderWay = MOST_UNDER_WAY): InitialPollLimiter {
     const waiting: ReadonlyArray<Array<() => void>> = [[], [], []];
     let underWay = 0;
     let admitting = false;
@@ -62,7 +62,7 @@
         return leave;
     };
     return {
-        enter: turn =>
+        acquire: turn =>
             new Promise(resolve => {
                 waiting[turn]!.push(() => resolve(begin()));
                 admitSoon();
--- a/src/leader/lostRuns.ts
+++ b/src/leader/lostRuns.ts
@@ -26,32 +26,36 @@
 
 export interface ListOptions {
     /** When another life of the worker was known to be there; `undefined`: none is. */
-    readonly succeededAt?: number;
+    readonly successorSeenAt?: number;
     /** The worker has started again under its name, so it may have taken a start that is still without an answer. */
-    readonly hasNextLife?: boolean;
+    readonly hasNextIncarnation?: boolean;
     /** How long a run of the step's tasks is expected to take. */
     expectRun(step: entries.StepEntry): number;
 }
 
 /** Those that may have been on the worker when it was lost. */
-export function listRuns(worker: entries.WorkerEntry, options: ListOptions): LostRun[] {
-    const { succeededAt = Infinity, hasNextLife = false, expectRun } = options;
+export function listLostRuns(worker: entries.WorkerEntry, options: ListOptions): LostRun[] {
+    const { successorSeenAt: succeededAt = Infinity, hasNextIncarnation: hasNextLife = false, expectRun } = options;
     return [...worker.tasks].filter(task => mayHaveRun(task, hasNextLife)).map(task => {
         const overBy = getOverBy(task, worker, succeededAt);
         return {
             task,
-            isFresh: !task.inherited && entries.getSeenMs(task) < suspects.SETTLED_MS,
+            isFresh: !task.inherited && entries.getObservedMs(task) < suspects.SETTLED_MS,
             isConfirmed: isConfirmed(task),
             wasThere: overBy - getKnownAt(task) < getLeastRemainingMs(task, expectRun(task.step)),
             mostAgeMs: task.inherited ? Infinity : overBy - task.orderedAt,
             isSuspect: crashHistory.isSuspect(task.crashes),
-            isProven: task.step.spec.lasting && entries.getSeenMs(task) >= PROVEN_MS,
+            isProven: task.step.spec.lasting && entries.getObservedMs(task) >= PROVEN_MS,
         };
     });
 }
 
 /** When the worker's life was over at the latest. A connection that broke says so unless the run was heard of later. */
-function getOverBy(task: entries.TaskEntry, { brokenOffAt }: entries.WorkerEntry, succeededAt: number): number {
+function getOverBy(
+    task: entries.TaskEntry,
+    { disconnectedAt: brokenOffAt }: entries.WorkerEntry,
+    succeededAt: number,
+): number {
     const isBrokenOff = brokenOffAt !== undefined && brokenOffAt >= getKnownAt(task);
     return isBrokenOff && succeededAt !== Infinity ? brokenOffAt : succeededAt;
 }
@@ -62,7 +66,7 @@
 
 /** When the run was last known to be there. */
 function getKnownAt(task: entries.TaskEntry): number {
-    return Math.max(task.runningSince, task.toldAt);
+    return Math.max(task.runningSince, task.lastReportAt);
 }
 
 function getLeastRemainingMs({ percent, step }: entries.TaskEntry, expectedMs: number): number {
@@ -80,7 +84,7 @@
         case "stopping":
             return !entries.isClosing(task);
         case "ordered":
-            return hasNextLife || task.unansweredAt !== undefined;
+            return hasNextLife || task.startTimedOutAt !== undefined;
         case "waiting":
         case "recording":
         case "done":
@@ -88,31 +92,37 @@
     }
 }
 
-export function listFreshJobs(runs: readonly LostRun[]): ReadonlySet<entries.JobEntry> {
+export function getRecentJobs(runs: readonly LostRun[]): ReadonlySet<entries.JobEntry> {
     return new Set(runs.filter(run => run.isFresh).map(run => run.task.step.occurrence.job));
 }
 
 /** What is known of the worker that was lost with the runs. */
-export interface Circumstances {
-    readonly freshJobs: ReadonlySet<entries.JobEntry>;
+export interface LossCircumstances {
+    readonly recentJobs: ReadonlySet<entries.JobEntry>;
     /** It was about to be taken away. */
-    readonly leaves: boolean;
+    readonly wasLeaving: boolean;
     /** Another life of it has answered. */
     readonly restarted: boolean;
     /** Workers were lost at the same time, and not to the same job. */
-    readonly areOthersSilent: boolean;
-    readonly isRackBack: boolean;
+    readonly wereOthersUnreachable: boolean;
+    readonly didRackRestart: boolean;
 }
 
-export function judgeAll(
+export function attributeCrashes(
     runs: readonly LostRun[],
-    { freshJobs, leaves, restarted, areOthersSilent, isRackBack }: Circumstances,
+    {
+        recentJobs: freshJobs,
+        wasLeaving: leaves,
+        restarted,
+        wereOthersUnreachable: areOthersSilent,
+        didRackRestart: isRackBack,
+    }: LossCircumstances,
 ): ReadonlyMap<LostRun, crashHistory.Certainty> {
     const { Certainty } = crashHistory;
     const fresh = runs.filter(run => run.isFresh);
     const suspected = fresh.filter(run => run.isSuspect);
     const blamed = suspected.length > 0 ? suspected : fresh;
-    const blamedJobs = suspected.length > 0 ? listFreshJobs(suspected) : freshJobs;
+    const blamedJobs = suspected.length > 0 ? getRecentJobs(suspected) : freshJobs;
     const hasCrashed = restarted && !leaves && !isRackBack;
     const isClear = hasCrashed && !areOthersSilent && blamedJobs.size === 1;
     const judge = (run: LostRun): crashHistory.Certainty => {
--- a/src/leader/orders.ts
+++ b/src/leader/orders.ts
@@ -3,9 +3,9 @@
 import type * as decisions from "../decisions/index";
 import type * as observe from "../observe/index";
 import type * as book from "./book";
-import * as contact from "./contact";
 import * as crashHistory from "./crashHistory";
 import type * as entries from "./entries";
+import * as contact from "./reachabilityCheck";
 import * as suspects from "./suspects";
 import type * as port from "./workerPort";
 import type * as workerSession from "./workerSession";
@@ -36,7 +36,7 @@
     stop(task: entries.TaskEntry): void;
     /** Tells a running task at which share of its speed it may work. */
     pace(task: entries.TaskEntry, percent: number): void;
-    stopStranger(worker: entries.WorkerEntry, told: port.RunningTask): void;
+    stopUnknownRun(worker: entries.WorkerEntry, told: port.RunningTask): void;
     /** Stops the run of a task that is done. */
     stopObsolete(task: entries.TaskEntry): void;
     /** After it the worker refuses that run, however late its start comes. */
@@ -59,7 +59,8 @@
     task: entries.TaskEntry,
     session: workerSession.WorkerSession,
 ): Promise<boolean> {
-    return !crashHistory.wasLost(task.crashes) || session.makeContact(suspects.SUSPECT_SILENCE_MS);
+    return !crashHistory.mayHaveCrashedWorker(task.crashes)
+        || session.ensureReachable(suspects.MAX_SUSPECT_START_SILENCE_MS);
 }
 
 export function createOrders(options: OrdersOptions): Orders {
@@ -93,14 +94,16 @@
         const mayStart = answers && worker && session && options.mayOrder() && options.mayStart(worker);
         if (!mayStart || task.phase !== "recording") {
             if (worker && task.phase === "recording") {
-                worker.setAsideUntil = answers ? worker.setAsideUntil : time.now() + contact.SET_ASIDE_MS;
+                worker.quarantinedUntil = answers
+                    ? worker.quarantinedUntil
+                    : time.now() + contact.UNREACHABLE_QUARANTINE_MS;
                 log.info("startWithdrawn", { task: task.name, run, worker: worker.id, answers });
                 taskBook.takeBack(task);
             }
             return;
         }
         task.phase = "ordered";
-        task.unansweredAt = undefined;
+        task.startTimedOutAt = undefined;
         task.orderedAt = time.now();
         const { submission } = task.step.occurrence.job;
         const answer = await session.start({
@@ -136,17 +139,17 @@
                     task.step.tickets.delete(worker.id);
                 }
                 else {
-                    worker.setAsideUntil = time.now() + NO_ROOM_ASIDE_MS;
+                    worker.quarantinedUntil = time.now() + NO_ROOM_ASIDE_MS;
                 }
                 takeBackStart(task);
                 break;
             case "unwell":
             case "unreachable":
-                worker.setAsideUntil = time.now() + contact.SET_ASIDE_MS;
+                worker.quarantinedUntil = time.now() + contact.UNREACHABLE_QUARANTINE_MS;
                 takeBackStart(task);
                 break;
             case "unknown":
-                worker.doubtfulStarts.set(task.name, task.run);
+                worker.unconfirmedStarts.set(task.name, task.run);
                 if (task.phase === "ordered") {
                     void settleUnanswered(task, worker);
                 }
@@ -168,8 +171,8 @@
             taskBook.requestStop(task, "startUnanswered");
             return;
         }
-        task.unansweredAt = time.now();
-        options.getSession(worker)?.lookNow();
+        task.startTimedOutAt = time.now();
+        options.getSession(worker)?.pollNow();
         await time.sleep(UNANSWERED_PATIENCE_MS, options.signal);
         if (task.run === run && task.phase === "ordered" && !options.signal.aborted) {
             taskBook.requestStop(task, "startUnanswered");
@@ -203,7 +206,7 @@
             if (answer?.kind === "accepted" || (answer?.kind === "refused" && answer.reason !== "fence")) {
                 // Refused as old: the run has ended there. Either way the run cannot begin any more.
                 task.stopAcceptedAt = time.now();
-                session?.lookNow();
+                session?.pollNow();
                 return;
             }
             await time.sleep(STOP_RETRY_MS, options.signal);
@@ -248,7 +251,7 @@
         await closeRun(worker, task.name, run);
         if (task.worker === worker && task.run === run) {
             task.runningSince = time.now();
-            options.getSession(worker)?.lookNow();
+            options.getSession(worker)?.pollNow();
         }
     };
 
@@ -261,7 +264,7 @@
             startNext();
         },
         stop: task => void stopOne(task),
-        stopStranger: (worker, told) => {
+        stopUnknownRun: (worker, told) => {
             const session = options.getSession(worker);
             if (session && options.mayOrder()) {
                 void session.stop({ task: told.task, run: told.run });
--- a/src/leader/outcomes.ts
+++ b/src/leader/outcomes.ts
@@ -3,15 +3,15 @@
 import * as decisions from "../decisions/index";
 import type * as observe from "../observe/index";
 import * as work from "../work/index";
-import * as blame from "./blame";
 import * as entries from "./entries";
+import * as blame from "./failingWorkers";
 
 /** Of one occurrence, as expected now. */
 export interface ExpectedTimes {
     /** Time within which it should end. */
     readonly objectiveMs: number;
     /** Its longest chain of work. */
-    readonly chainMs: number;
+    readonly criticalPathMs: number;
 }
 
 export interface OutcomesOptions {
@@ -26,9 +26,9 @@
     /** How long a run of the step's tasks is expected to take. */
     expectRun(step: entries.StepEntry): number;
     readonly leftOut: ReadonlySet<decisions.Mechanism>;
-    onOver(job: entries.JobEntry): void;
+    onJobEnded(job: entries.JobEntry): void;
     /** Stops what still runs of an occurrence that is over. */
-    stopAll(occurrence: entries.OccurrenceEntry, reason: string): void;
+    stopOccurrence(occurrence: entries.OccurrenceEntry, reason: string): void;
 }
 
 export interface Outcomes {
@@ -39,7 +39,7 @@
     markStepDone(step: entries.StepEntry): void;
     countFailure(task: entries.TaskEntry, run: number, worker: entries.WorkerEntry): void;
     /** One of its tasks is not tried again. */
-    endFailed(occurrence: entries.OccurrenceEntry): void;
+    failOccurrence(occurrence: entries.OccurrenceEntry): void;
 }
 
 export function createOutcomes(options: OutcomesOptions): Outcomes {
@@ -48,7 +48,7 @@
     const endJob = (job: entries.JobEntry, state: work.JobState) => {
         job.state = state;
         job.endedAt = time.wallTime();
-        options.onOver(job);
+        options.onJobEnded(job);
         options.listener.jobChanged(job);
         const { account } = job.submission;
         const queue = job.queue.name;
@@ -61,7 +61,7 @@
             state,
             ageMs,
             objectiveMs: Math.round(expected.objectiveMs),
-            expectedMs: Math.round(expected.chainMs),
+            expectedMs: Math.round(expected.criticalPathMs),
             coreSeconds: Math.round(getCoreSeconds(job)),
         });
         meter.increment("jobs_ended_total", { account, queue, state });
@@ -70,14 +70,14 @@
 
     const endOccurrence = (occurrence: entries.OccurrenceEntry, failed: boolean) => {
         const { job } = occurrence;
-        occurrence.over = true;
-        job.ended.add(occurrence.number);
+        occurrence.isEnded = true;
+        job.endedOccurrences.add(occurrence.number);
         job.failed ||= failed;
         options.listener.occurrenceChanged(occurrence);
         if (failed) {
-            options.stopAll(occurrence, "jobFailed");
+            options.stopOccurrence(occurrence, "jobFailed");
         }
-        if (job.ended.size >= work.getOccurrenceCount(job.submission.spec)) {
+        if (job.endedOccurrences.size >= work.getOccurrenceCount(job.submission.spec)) {
             endJob(job, job.failed ? "failed" : "completed");
             return;
         }
@@ -95,7 +95,7 @@
                 next.readySince ??= time.now();
             }
         }
-        if (occurrence.steps.every(entries.isStepDone) && !occurrence.over) {
+        if (occurrence.steps.every(entries.isStepDone) && !occurrence.isEnded) {
             endOccurrence(occurrence, false);
         }
     };
@@ -118,12 +118,12 @@
     const countFailure = (task: entries.TaskEntry, run: number, worker: entries.WorkerEntry) => {
         const { step } = task;
         if (!step.spec.lasting) {
-            blame.blameWorker(worker, task, options.expectRun(step), { now: time.now(), leftOut: options.leftOut });
+            blame.recordFailedRun(worker, task, options.expectRun(step), { now: time.now(), leftOut: options.leftOut });
         }
-        if (step.spec.gang && step.failedRun === run) {
+        if (step.spec.gang && step.lastFailedRun === run) {
             return;
         }
-        step.failedRun = run;
+        step.lastFailedRun = run;
         const members = step.spec.gang ? step.tasks : [task];
         const failures = task.failures + 1;
         for (const member of members) {
@@ -150,12 +150,12 @@
     };
 
     const endFailed = (occurrence: entries.OccurrenceEntry) => {
-        if (!occurrence.over) {
+        if (!occurrence.isEnded) {
             endOccurrence(occurrence, true);
         }
     };
 
-    return { endJob, markDone, markStepDone, countFailure, endFailed };
+    return { endJob, markDone, markStepDone, countFailure, failOccurrence: endFailed };
 }
 
 /** Work of one occurrence, as its caller estimates it. */
--- a/src/leader/placeable.ts
+++ b/src/leader/placeable.ts
@@ -31,8 +31,9 @@
         worker.reportedAt !== undefined && now - worker.reportedAt <= lastsMs;
     return {
         isPlaceable: (worker, now) =>
-            worker.listed && worker.heard && !worker.info.draining && !worker.reserved && worker.strangers === 0
-            && worker.setAsideUntil <= now && options.hasSession(worker)
+            worker.listed && worker.reachable && !worker.info.draining && !worker.reserved
+            && worker.unknownRunCount === 0
+            && worker.quarantinedUntil <= now && options.hasSession(worker)
             && (isReported(worker, now, options.capacityMs - ORDER_WAY_MS) || refusesOverload(worker))
             && (options.leftOut.has("isolation") || !suspects.hasUnsettledSuspect(worker)),
         mayStart: (worker, now) =>
--- a/src/leader/contact.ts
+++ b/src/leader/reachabilityCheck.ts
@@ -13,9 +13,9 @@
 /** Storing the row takes a few milliseconds; members of a gang are looked at together. */
 const PLACING_SILENCE_MS = 300;
 /** A worker that was unwell or out of reach gets no new task for this long. */
-export const SET_ASIDE_MS = 1_500;
+export const UNREACHABLE_QUARANTINE_MS = 1_500;
 
-export interface ContactOptions {
+export interface ReachabilityCheckOptions {
     readonly clock: clock.Clock;
     readonly log: observe.Log;
     readonly signal: AbortSignal;
@@ -24,12 +24,12 @@
     onChanged(): void;
 }
 
-export interface Contact {
+export interface ReachabilityCheck {
     /** Whether the tasks may be placed on these workers now; if not, those in question are looked at. */
-    isSure(tasks: readonly entries.TaskEntry[], workers: readonly entries.WorkerEntry[]): boolean;
+    mayPlace(tasks: readonly entries.TaskEntry[], workers: readonly entries.WorkerEntry[]): boolean;
 }
 
-export function createContact(options: ContactOptions): Contact {
+export function createReachabilityCheck(options: ReachabilityCheckOptions): ReachabilityCheck {
     const { clock: time, log } = options;
     const lookedAt = new Set<entries.WorkerEntry>();
 
@@ -39,22 +39,22 @@
             return;
         }
         lookedAt.add(worker);
-        const answers = await session.makeContact(PLACING_SILENCE_MS);
+        const answers = await session.ensureReachable(PLACING_SILENCE_MS);
         lookedAt.delete(worker);
         if (options.signal.aborted) {
             return;
         }
         if (!answers) {
-            worker.setAsideUntil = time.now() + SET_ASIDE_MS;
+            worker.quarantinedUntil = time.now() + UNREACHABLE_QUARANTINE_MS;
             log.info("workerSuspect", { worker: worker.id, reason: "no answer before a start" });
         }
         options.onChanged();
     };
     const isSilent = (worker: entries.WorkerEntry) =>
-        options.getSession(worker)?.hasContact(PLACING_SILENCE_MS) !== true;
+        options.getSession(worker)?.hasAnsweredWithin(PLACING_SILENCE_MS) !== true;
     return {
-        isSure: (tasks, workers) => {
-            if (!tasks.some(task => crashHistory.wasLost(task.crashes))) {
+        mayPlace: (tasks, workers) => {
+            if (!tasks.some(task => crashHistory.mayHaveCrashedWorker(task.crashes))) {
                 return true;
             }
             const silent = [...new Set(workers)].filter(isSilent);
--- a/src/leader/reconcile.ts
+++ b/src/leader/reconcile.ts
@@ -11,13 +11,13 @@
     readonly clock: clock.Clock;
     readonly log: observe.Log;
     /** Something runs there that the book does not hold: it must be stopped. */
-    stopStranger(worker: entries.WorkerEntry, task: port.RunningTask): void;
+    stopUnknownRun(worker: entries.WorkerEntry, task: port.RunningTask): void;
 }
 
 export function reconcile(
     options: ReconcileOptions,
     worker: entries.WorkerEntry,
-    lists: workerSession.WorkerLists,
+    lists: workerSession.PollResult,
 ): void {
     const { book: taskBook } = options;
     const present = new Set<entries.TaskEntry>();
@@ -31,13 +31,13 @@
         }
         strangers++;
         options.log.warn("strangerFound", { worker: worker.id, task: told.task, run: told.run });
-        options.stopStranger(worker, told);
+        options.stopUnknownRun(worker, told);
     }
-    worker.strangers = strangers;
+    worker.unknownRunCount = strangers;
     for (const end of lists.ended) {
         taskBook.takeEnd(worker, end);
     }
-    if (lists.complete) {
+    if (lists.isEndListComplete) {
         settleMissing(options, worker, lists.sentAt, present);
     }
 }
@@ -70,7 +70,7 @@
                 }
                 break;
             case "ordered":
-                if (task.unansweredAt !== undefined && task.unansweredAt < sentAt) {
+                if (task.startTimedOutAt !== undefined && task.startTimedOutAt < sentAt) {
                     options.book.requestStop(task, "startUnanswered");
                 }
                 break;
@@ -88,5 +88,5 @@
         return;
     }
     options.log.warn("taskMissing", { task: task.name, run: task.run, worker: worker.id });
-    options.book.requestStop(task, entries.MISSING);
+    options.book.requestStop(task, entries.MISSING_RUN_REASON);
 }
--- a/src/leader/restore.ts
+++ b/src/leader/restore.ts
@@ -54,7 +54,7 @@
                 break;
             case "closing":
                 takeForRunning(task, getWorker(stored.workerId), options.clock.now());
-                options.requestStop(task, entries.MISSING);
+                options.requestStop(task, entries.MISSING_RUN_REASON);
                 break;
         }
     };
@@ -83,7 +83,7 @@
             job.endedAt = progress.endedAt;
             job.rowVersion = version;
             for (const number of progress.ended) {
-                job.ended.add(number);
+                job.endedOccurrences.add(number);
             }
             job.cancelled = progress.state === "cancelled";
             if (progress.endedAt > 0) {
@@ -93,7 +93,7 @@
         restoreOccurrence: (job, number, progress, version, getWorker) => {
             const occurrence = options.openOccurrence(job, number);
             occurrence.rowVersion = version;
-            occurrence.over = job.ended.has(number) || !active.has(job);
+            occurrence.isEnded = job.endedOccurrences.has(number) || !active.has(job);
             for (const step of occurrence.steps) {
                 for (const task of step.tasks) {
                     const stored = progress[step.number]?.[task.index];
@@ -109,7 +109,7 @@
                 stopIncompleteGang(step);
             }
             occurrence.steps.forEach(step => step.tasks.forEach(judgeRestored));
-            if (occurrence.over) {
+            if (occurrence.isEnded) {
                 options.stopAll(occurrence, "jobOver");
             }
         },
@@ -123,6 +123,6 @@
     task.pacePercent = undefined;
     task.orderedAt = now;
     task.runningSince = now;
-    task.progressAt = now;
+    task.lastProgressAt = now;
     task.inherited = true;
 }
--- a/src/leader/rowsOf.ts
+++ b/src/leader/rowsOf.ts
@@ -6,7 +6,7 @@
 export function encodeJob(job: entries.JobEntry): string {
     const progress: work.JobProgress = {
         state: job.state,
-        ended: [...job.ended],
+        ended: [...job.endedOccurrences],
         failed: job.failed,
         endedAt: job.endedAt,
     };
--- a/src/leader/slowness.ts
+++ b/src/leader/slowWorkers.ts
@@ -8,7 +8,7 @@
 /** A slow worker gets no new task until it has not been seen slow for this long. */
 const SLOW_ASIDE_MS = 2_000;
 
-export interface SlownessOptions {
+export interface SlowWorkerOptions {
     readonly now: number;
     readonly book: book.Book;
     readonly log: observe.Log;
@@ -16,20 +16,20 @@
     getUrgency(step: entries.StepEntry): decisions.Urgency;
 }
 
-export function judgeSpeed(worker: entries.WorkerEntry, options: SlownessOptions): void {
+export function handleSlowWorker(worker: entries.WorkerEntry, options: SlowWorkerOptions): void {
     const running = [...worker.tasks].filter(task => task.phase === "running" && !task.step.spec.lasting);
     const slowdowns = running.flatMap(task => decisions.getSlowdown(task.speed) ?? []);
     if (!decisions.isSlow(slowdowns)) {
         return;
     }
-    if (worker.setAsideUntil <= options.now) {
+    if (worker.quarantinedUntil <= options.now) {
         options.log.warn("workerSlow", {
             worker: worker.id,
             slowdowns: slowdowns.map(slowdown => Math.round(slowdown * 10) / 10),
         });
     }
     if (!options.leftOut.has("slowWorkers")) {
-        worker.setAsideUntil = Math.max(worker.setAsideUntil, options.now + SLOW_ASIDE_MS);
+        worker.quarantinedUntil = Math.max(worker.quarantinedUntil, options.now + SLOW_ASIDE_MS);
     }
     if (options.leftOut.has("slowMoves")) {
         return;
@@ -47,7 +47,7 @@
 }
 
 /** A gang moves as a whole, and saves as a whole. */
-function paysToMove(task: entries.TaskEntry, times: decisions.MoveTimes, options: SlownessOptions): boolean {
+function paysToMove(task: entries.TaskEntry, times: decisions.MoveTimes, options: SlowWorkerOptions): boolean {
     const { step } = task;
     if (step.spec.checkpoints) {
         return true;
--- a/src/leader/watch.ts
+++ b/src/leader/taskWatchdog.ts
@@ -2,11 +2,11 @@
 import type * as clock from "../clock/index";
 import type * as decisions from "../decisions/index";
 import type * as observe from "../observe/index";
-import * as blame from "./blame";
 import type * as book from "./book";
 import type * as entries from "./entries";
+import * as blame from "./failingWorkers";
 import type * as heldLease from "./heldLease";
-import * as lapse from "./lapse";
+import * as lapse from "./leaseExpiry";
 import * as suspects from "./suspects";
 import type * as units from "./units";
 
@@ -33,7 +33,7 @@
 /** Nothing else starts on a worker until what may take it down has settled in there. */
 const SETTLING_WAIT_MS = 300;
 
-export function getLookWaitMs(worker: entries.WorkerEntry, longestMs: number): number {
+export function getPollWaitMs(worker: entries.WorkerEntry, longestMs: number): number {
     let serving = false;
     let filling = false;
     for (const task of worker.tasks) {
@@ -47,7 +47,7 @@
 }
 
 /** A worker that nobody can reach: what ran there is gone when the last lease that anyone granted has run out. */
-export function loseWhenLapsed(
+export function markLostAfterExpiry(
     worker: entries.WorkerEntry,
     options: {
         readonly clock: clock.Clock;
@@ -56,12 +56,12 @@
         readonly book: Pick<book.Book, "loseTasksOf">;
     },
 ): void {
-    if (options.clock.now() > lapse.getLapsedAt(options.leadership.othersSilentAt, options.maxLeaseMs)) {
+    if (options.clock.now() > lapse.getExpiresAt(options.leadership.othersSilentAt, options.maxLeaseMs)) {
         options.book.loseTasksOf(worker, "lapsed");
     }
 }
 
-export function stopWhatCannotGoOn(
+export function stopUnviableTasks(
     workers: readonly entries.WorkerEntry[],
     options: {
         readonly now: number;
@@ -73,9 +73,9 @@
 ): void {
     const { leftOut } = options;
     for (const worker of workers) {
-        blame.judgeFailures(worker, options);
+        blame.quarantineIfFailing(worker, options);
         for (const task of worker.tasks) {
-            if (task.phase !== "running" || !worker.heard) {
+            if (task.phase !== "running" || !worker.reachable) {
                 continue;
             }
             if (worker.info.draining && !leftOut.has("leavingWorkers") && !endsInTime(task, worker, options)) {
@@ -83,7 +83,7 @@
             }
             else if (!leftOut.has("hangingTasks") && hangs(task, options.expect)) {
                 task.stalls++;
-                worker.setAsideUntil = options.now + HANG_ASIDE_MS;
+                worker.quarantinedUntil = options.now + HANG_ASIDE_MS;
                 options.log.warn("workerSuspect", { worker: worker.id, reason: "no progress", task: task.name });
                 options.book.requestStop(task, "noProgress");
             }
@@ -98,10 +98,10 @@
     }
     // A gang begins to work when its last member has started.
     const together = step.spec.gang ? step.tasks : [task];
-    const since = together.reduce((latest, member) => Math.max(latest, member.runningSince), task.progressAt);
+    const since = together.reduce((latest, member) => Math.max(latest, member.runningSince), task.lastProgressAt);
     const patienceMs = Math.max(LEAST_HANG_MS, HANG_SHARE * expect(step)) * STALL_FACTOR ** task.stalls;
     // Counted up to what the worker last told: a late look is no sign that a task stands still.
-    return task.toldAt - since > patienceMs;
+    return task.lastReportAt - since > patienceMs;
 }
 
 /**
--- a/src/leader/term.ts
+++ b/src/leader/term.ts
@@ -6,31 +6,31 @@
 import type * as rows from "../rows/index";
 import * as advice from "./advice";
 import * as bookOfTasks from "./book";
-import * as contacts from "./contact";
 import type * as directory from "./directory";
 import * as entries from "./entries";
 import * as execution from "./execution";
-import * as firstLooksOfTerm from "./firstLooks";
 import * as followIntake from "./followIntake";
 import * as gauges from "./gauges";
 import * as guarantees from "./guarantees";
 import type * as heldLease from "./heldLease";
+import * as firstLooksOfTerm from "./initialPollLimiter";
 import * as knownServices from "./knownServices";
 import type * as machines from "./machines";
 import * as ordersOfTerm from "./orders";
 import * as passTimer from "./passTimer";
 import * as placeable from "./placeable";
 import * as progressWriter from "./progressWriter";
+import * as contacts from "./reachabilityCheck";
 import * as reconcile from "./reconcile";
 import * as retention from "./retention";
 import * as sharing from "./sharing";
-import * as slowness from "./slowness";
+import * as slowness from "./slowWorkers";
 import * as takeover from "./takeover";
+import * as watch from "./taskWatchdog";
 import * as thrownAways from "./thrownAway";
 import * as units from "./units";
 import * as upkeep from "./upkeep";
 import * as waits from "./waits";
-import * as watch from "./watch";
 import type * as port from "./workerPort";
 import * as workerRegistry from "./workerRegistry";
 import * as workerSession from "./workerSession";
@@ -88,7 +88,7 @@
     const { leftOut } = options.policy;
     const lookWaitMs = Math.round(Math.min(MOST_LOOK_WAIT_MS, LOOK_SHARE * options.maxLeaseMs));
     const predictor = decisions.createPredictor();
-    const firstLooks = firstLooksOfTerm.createFirstLooks(
+    const firstLooks = firstLooksOfTerm.createInitialPollLimiter(
         time,
         options.policy.leftOut.has("firstLooks") ? Infinity : undefined,
     );
@@ -112,7 +112,7 @@
         getQueue: name => options.catalog.getQueue(name),
         getExpected: job => units.getExpected(job, expect),
         expectRun: step => expect(step),
-        getWorkers: () => registry.all.values(),
+        getWorkers: () => registry.workers.values(),
         leftOut,
         thrownAway,
         listener: {
@@ -134,7 +134,7 @@
         mayStart: worker => mayStart(worker, time.now()),
         leftOut,
     });
-    const contact = contacts.createContact({
+    const contact = contacts.createReachabilityCheck({
         clock: time,
         log,
         signal,
@@ -151,22 +151,22 @@
 
     const openSession = (worker: entries.WorkerEntry) =>
         workerSession.createWorkerSession({
-            worker: { name: worker.life.name, address: worker.info.address },
-            life: worker.life,
+            worker: { name: worker.incarnation.name, address: worker.info.address },
+            incarnation: worker.incarnation,
             port: options.workers,
             clock: time,
             log,
             leadership,
-            firstLooks,
+            pollLimiter: firstLooks,
             maxLeaseMs: options.maxLeaseMs,
-            isBusy: () => worker.tasks.size > 0 || worker.strangers > 0,
-            getWaitMs: () => watch.getLookWaitMs(worker, lookWaitMs),
-            onLists: async lists => {
+            isBusy: () => worker.tasks.size > 0 || worker.unknownRunCount > 0,
+            getPollWaitMs: () => watch.getPollWaitMs(worker, lookWaitMs),
+            onPollResult: async lists => {
                 for (const end of lists.ended) {
                     learn(end);
                 }
-                reconcile.reconcile({ book, clock: time, log, stopStranger: orders.stopStranger }, worker, lists);
-                slowness.judgeSpeed(worker, {
+                reconcile.reconcile({ book, clock: time, log, stopUnknownRun: orders.stopUnknownRun }, worker, lists);
+                slowness.handleSlowWorker(worker, {
                     now: time.now(),
                     book,
                     log,
@@ -177,17 +177,17 @@
                 planPass(PASS_DELAY_MS);
                 await writer.flush();
             },
-            onGone: how => registry.onGone(worker, how),
-            onNextLife: (next, lists) => registry.onNextLife(worker, next, lists),
-            onHeard: heard => {
-                const before = worker.heard;
-                entries.noteHeard(worker, heard, time.now());
+            onLost: how => registry.onLost(worker, how),
+            onNextIncarnation: (next, lists) => registry.onNextIncarnation(worker, next, lists),
+            onReachability: heard => {
+                const before = worker.reachable;
+                entries.setReachable(worker, heard, time.now());
                 if (heard && !before) {
-                    book.crashJudge.noteWorker(worker.info);
+                    book.crashJudge.recordWorkerSeen(worker.info);
                     planPass(PASS_DELAY_MS);
                 }
             },
-            onBrokenOff: () => worker.brokenOffAt ??= time.now(),
+            onDisconnected: () => worker.disconnectedAt ??= time.now(),
             onFenced: () => options.onDeposed(`worker ${worker.id} has seen a higher fencing token`),
         });
     const learn = (end: port.TaskEnd) => {
@@ -205,7 +205,7 @@
         catalog: options.catalog,
         log,
         meter,
-        isInUse: id => (registry.all.get(id)?.tasks.size ?? 0) > 0,
+        isInUse: id => (registry.workers.get(id)?.tasks.size ?? 0) > 0,
     });
     const registry = workerRegistry.createWorkerRegistry({
         clock: time,
@@ -213,7 +213,7 @@
         leadership,
         maxLeaseMs: options.maxLeaseMs,
         book,
-        leaveOutUnknown,
+        filterKnownServices: leaveOutUnknown,
         openSession,
         closeRun: orders.closeRun,
         onChanged: () => planPass(PASS_DELAY_MS),
@@ -222,13 +222,13 @@
         let listed: readonly directory.ListedWorker[] | undefined;
         options.directory.follow(signal, workersListed => {
             listed = workersListed;
-            registry.takeDirectory(listed);
+            registry.applyDirectory(listed);
         });
         while (!signal.aborted) {
             await time.sleep(DIRECTORY_CHECK_MS, signal);
             // What is left of workers that are no longer listed ends without a change of the directory.
             if (listed && !signal.aborted) {
-                registry.takeDirectory(listed);
+                registry.applyDirectory(listed);
             }
         }
     };
@@ -261,12 +261,12 @@
         book.releaseDue();
         const now = time.now();
         const view = createView(guarantees.findGuaranteed(book.active, options.catalog.getAccount));
-        watch.stopWhatCannotGoOn([...registry.all.values()], { now, expect, book, log, leftOut });
+        watch.stopUnviableTasks([...registry.workers.values()], { now, expect, book, log, leftOut });
         const waiting = units.collectUnits(book.active, view);
         if (waiting.length === 0) {
             return;
         }
-        const usable = [...registry.all.values()].filter(worker => isPlaceable(worker, now));
+        const usable = [...registry.workers.values()].filter(worker => isPlaceable(worker, now));
         adviceDesk.ask(waiting, usable);
         let groups: ReadonlyMap<string, units.GroupOfTasks> = new Map();
         const plan = decisions.plan({
@@ -285,7 +285,7 @@
             contact,
             log,
             meter,
-            getWorker: registry.getLife,
+            getWorker: registry.getWorker,
             flush: writer.flush,
         }, {
             plan,
@@ -305,7 +305,7 @@
             now,
             log,
             waiting: units.collectUnits(book.active, createView(new Set())),
-            workers: [...registry.all.values()],
+            workers: [...registry.workers.values()],
             isPlaceable: worker => isPlaceable(worker, now),
         });
     };
@@ -329,7 +329,7 @@
             log,
             signal,
             book,
-            getWorker: registry.getLife,
+            getWorker: registry.getWorker,
             onOrphans: keys => void retention.removeOrphans({ store: options.store, log, leadership }, keys),
         });
         if (version === undefined) {
@@ -349,7 +349,7 @@
             holder: options.life,
             upkeepMs: options.upkeepMs,
             book,
-            getWorker: registry.findPresent,
+            getWorker: registry.findCurrent,
             onFenced: () => options.onDeposed("a machine has seen a higher fencing token"),
         });
         void retention.runRetention({
@@ -377,7 +377,7 @@
     const endGauges = meter.registerGauges(() =>
         gauges.readGauges({
             active: book.active,
-            workers: registry.all.values(),
+            workers: registry.workers.values(),
             isPlaceable: worker => isPlaceable(worker, time.now()),
         })
     );
--- a/src/leader/units.ts
+++ b/src/leader/units.ts
@@ -37,7 +37,7 @@
     const units: UnitOfTasks[] = [];
     for (const job of active) {
         for (const occurrence of job.occurrences.values()) {
-            if (occurrence.over) {
+            if (occurrence.isEnded) {
                 continue;
             }
             for (const step of occurrence.steps) {
@@ -52,8 +52,8 @@
 
 function collectOfStep(step: entries.StepEntry, options: UnitsOptions): UnitOfTasks[] {
     const startable = step.tasks.filter(task =>
-        task.phase === "waiting" && !task.worker && task.restsUntil <= options.now
-        && !crashHistory.isBeyondLimit(task.crashes)
+        task.phase === "waiting" && !task.worker && task.backoffUntil <= options.now
+        && !crashHistory.isCrashLimitReached(task.crashes)
     );
     if (startable.length === 0 || (step.spec.gang && startable.length < step.tasks.length)) {
         return [];
@@ -168,7 +168,7 @@
 export function getExpected(job: entries.JobEntry, expect: Expect): outcomes.ExpectedTimes {
     const [occurrence] = job.occurrences.values();
     const chainMs = occurrence ? getChainMs(occurrence, expect) : 0;
-    return { chainMs, objectiveMs: job.queue.stretch * chainMs + job.queue.objectiveMs };
+    return { criticalPathMs: chainMs, objectiveMs: job.queue.stretch * chainMs + job.queue.objectiveMs };
 }
 
 /** The longest chain of work of an occurrence. */
@@ -262,10 +262,10 @@
 function getProtection(tasks: readonly entries.TaskEntry[]): decisions.Protection | undefined {
     const { step } = tasks[0]!;
     const { mayMiss } = step.spec;
-    if (mayMiss === 0 || !tasks.some(entries.isAtWork)) {
+    if (mayMiss === 0 || !tasks.some(entries.isAvailable)) {
         return undefined;
     }
-    return { step: getStepName(step), mayStop: mayMiss - entries.countAway(step) };
+    return { step: getStepName(step), mayStop: mayMiss - entries.countUnavailable(step) };
 }
 
 function getStepName(step: entries.StepEntry): string {
--- a/src/leader/upkeep.ts
+++ b/src/leader/upkeep.ts
@@ -225,7 +225,7 @@
 
 /** Whether one more task of a lasting step may be away from its work. */
 function mayMissOneMore(step: entries.StepEntry): boolean {
-    return step.spec.mayMiss === 0 || entries.countAway(step) < step.spec.mayMiss;
+    return step.spec.mayMiss === 0 || entries.countUnavailable(step) < step.spec.mayMiss;
 }
 
 function toRows(options: UpkeepOptions): upkeepRows.UpkeepRows {
--- a/src/leader/losses.ts
+++ b/src/leader/workerLosses.ts
@@ -1,12 +1,12 @@
 /** What becomes of the runs that are lost with their worker: they begin anew, or their task is given up. */
 import type * as clock from "../clock/index";
 import type * as observe from "../observe/index";
-import * as crashes from "./crashes";
+import * as crashes from "./crashAttribution";
 import * as crashHistory from "./crashHistory";
 import * as entries from "./entries";
 import type * as workerSession from "./workerSession";
 
-export interface LossesOptions {
+export interface WorkerLossesOptions {
     readonly clock: clock.Clock;
     readonly log: observe.Log;
     readonly meter: observe.Meter;
@@ -16,12 +16,12 @@
     /** How long a run of the step's tasks is expected to take. */
     expectRun(step: entries.StepEntry): number;
     countThrownAway(task: entries.TaskEntry, cause: string): void;
-    toWaiting(task: entries.TaskEntry): void;
-    breakGang(task: entries.TaskEntry, reason: string): void;
+    requeue(task: entries.TaskEntry): void;
+    stopOtherMembers(task: entries.TaskEntry, reason: string): void;
     /** The task is now `stopping`: its run must be stopped and settled. */
     stopWanted(task: entries.TaskEntry): void;
     /** Its occurrence ends as failed. */
-    giveUp(task: entries.TaskEntry): void;
+    failOccurrence(task: entries.TaskEntry): void;
     occurrenceChanged(occurrence: entries.OccurrenceEntry): void;
 }
 
@@ -29,26 +29,26 @@
 export type LossReason = "otherLife" | "lapsed";
 
 /** The life that has followed under the worker's name, and may have got starts that were meant for the one before. */
-export interface NextLife {
+export interface NextIncarnation {
     readonly worker: entries.WorkerEntry;
     /** What it has told, if it has answered. */
-    readonly lists: workerSession.WorkerLists | undefined;
+    readonly pollResult: workerSession.PollResult | undefined;
 }
 
-export interface Losses {
-    loseTasksOf(worker: entries.WorkerEntry, reason: LossReason, next?: NextLife): void;
+export interface WorkerLosses {
+    loseTasksOf(worker: entries.WorkerEntry, reason: LossReason, next?: NextIncarnation): void;
     /** Gives the task up, unless it runs, if too many workers have crashed under it. */
-    judge(task: entries.TaskEntry): void;
-    readonly crashJudge: crashes.CrashJudge;
+    enforceCrashLimit(task: entries.TaskEntry): void;
+    readonly crashAttribution: crashes.CrashAttribution;
 }
 
-export function createLosses(options: LossesOptions): Losses {
+export function createWorkerLosses(options: WorkerLossesOptions): WorkerLosses {
     const { clock: time, log, meter } = options;
 
     const judge = (task: entries.TaskEntry) => {
         if (
-            !crashHistory.isBeyondLimit(task.crashes) || task.worker || task.phase === "done"
-            || task.step.occurrence.over
+            !crashHistory.isCrashLimitReached(task.crashes) || task.worker || task.phase === "done"
+            || task.step.occurrence.isEnded
         ) {
             return;
         }
@@ -58,14 +58,14 @@
             ...crashHistory.getCounts(task.crashes),
             reason: "its workers crash",
         });
-        options.giveUp(task);
+        options.failOccurrence(task);
     };
-    const crashJudge = crashes.createCrashJudge({
+    const crashJudge = crashes.createCrashAttribution({
         clock: time,
         getWorkers: options.getWorkers,
         expectRun: options.expectRun,
         onReviewed: (task, hasChanged) => {
-            if (options.signal.aborted || task.step.occurrence.over) {
+            if (options.signal.aborted || task.step.occurrence.isEnded) {
                 return;
             }
             if (hasChanged) {
@@ -84,8 +84,8 @@
             reason,
             phase: task.phase,
             inherited: task.inherited,
-            seenMs: Math.round(entries.getSeenMs(task)),
-            unknownMs: Math.round(time.now() - Math.max(task.runningSince, task.toldAt)),
+            seenMs: Math.round(entries.getObservedMs(task)),
+            unknownMs: Math.round(time.now() - Math.max(task.runningSince, task.lastReportAt)),
             ...crashHistory.getCounts(task.crashes),
         });
     };
@@ -101,7 +101,7 @@
     /** After a stop the next life refuses the run, however late its start comes; only then is the task free again. */
     const settleOn = (next: entries.WorkerEntry, task: entries.TaskEntry) => {
         task.phase = "stopping";
-        task.stopReason = entries.MISSING;
+        task.stopReason = entries.MISSING_RUN_REASON;
         moveTo(next, task);
     };
     /**
@@ -112,7 +112,7 @@
         task: entries.TaskEntry,
         worker: entries.WorkerEntry,
         reason: LossReason,
-        loss: crashHistory.Loss | undefined,
+        loss: crashHistory.RunLoss | undefined,
         next: entries.WorkerEntry | undefined,
     ) => {
         entries.unassign(task);
@@ -120,7 +120,7 @@
             return;
         }
         if (loss) {
-            crashHistory.noteLoss(task.crashes, loss);
+            crashHistory.recordLoss(task.crashes, loss);
         }
         else {
             crashHistory.refundStart(task.crashes);
@@ -133,28 +133,28 @@
             settleOn(next, task);
             return;
         }
-        options.toWaiting(task);
+        options.requeue(task);
     };
     return {
-        crashJudge,
-        judge,
+        crashAttribution: crashJudge,
+        enforceCrashLimit: judge,
         loseTasksOf: (worker, reason, next) => {
-            if (next?.lists) {
-                listTold(worker, next.lists).forEach(task => moveTo(next.worker, task));
+            if (next?.pollResult) {
+                listTold(worker, next.pollResult).forEach(task => moveTo(next.worker, task));
             }
             const lost = [...worker.tasks];
             if (lost.length > 0) {
                 log.warn("tasksLost", { worker: worker.id, reason, tasks: lost.length });
             }
-            const counted = crashJudge.judge(worker, {
+            const counted = crashJudge.attributeLoss(worker, {
                 restarted: reason === "otherLife",
-                hasNextLife: next !== undefined,
+                hasNextIncarnation: next !== undefined,
             });
             for (const task of lost) {
-                const later = next && mayReachNextLife(task, next.lists) ? next.worker : undefined;
+                const later = next && mayReachNextLife(task, next.pollResult) ? next.worker : undefined;
                 lose(task, worker, reason, counted.get(task), later);
             }
-            lost.forEach(task => options.breakGang(task, "gang member lost"));
+            lost.forEach(task => options.stopOtherMembers(task, "gang member lost"));
             // The others are judged when their loss is reviewed.
             lost.filter(task => !counted.has(task)).forEach(judge);
         },
@@ -164,7 +164,7 @@
 /** Tasks of the worker of which a look's answer tells, as running or as ended. */
 function listTold(
     worker: entries.WorkerEntry,
-    { running, ended }: workerSession.WorkerLists,
+    { running, ended }: workerSession.PollResult,
 ): readonly entries.TaskEntry[] {
     const runs = new Map([...running, ...ended].map(({ task, run }) => [task, run]));
     return [...worker.tasks].filter(task => runs.get(task.name) === task.run);
@@ -174,7 +174,7 @@
  * Whether the next life may still get the start of a run that it has not told of: the life before never told of it
  * either, nor was the start answered before the next life was asked.
  */
-function mayReachNextLife(task: entries.TaskEntry, lists: workerSession.WorkerLists | undefined): boolean {
+function mayReachNextLife(task: entries.TaskEntry, lists: workerSession.PollResult | undefined): boolean {
     switch (task.phase) {
         case "waiting":
         case "recording":
@@ -184,7 +184,7 @@
             return true;
         case "running":
         case "stopping": {
-            const isTold = task.toldAt >= entries.getStartedAt(task);
+            const isTold = task.lastReportAt >= entries.getStartedAt(task);
             const isAnswered = !task.inherited && task.runningSince >= task.orderedAt;
             return !isTold && !(isAnswered && lists !== undefined && task.runningSince < lists.sentAt);
         }
--- a/src/leader/workerPort.ts
+++ b/src/leader/workerPort.ts
@@ -29,7 +29,7 @@
     readonly percent: number;
 }
 
-export interface LookOrder {
+export interface PollOrder {
     readonly fencingToken: number;
     /** Ends up to this number are recorded and may be forgotten. */
     readonly recordedUpTo: number;
@@ -72,12 +72,12 @@
     readonly saved: string;
 }
 
-export type LookAnswer =
+export type PollAnswer =
     | {
         readonly kind: "lists";
         readonly workerClock: number;
         /** When the life that answered began, in Unix milliseconds; 0 where the worker does not tell. */
-        readonly bornAt: number;
+        readonly startedAt: number;
         readonly running: readonly RunningTask[];
         readonly ended: readonly TaskEnd[];
     }
@@ -90,5 +90,5 @@
     start(worker: WorkerAddress, order: StartOrder, timeoutMs: number): Promise<OrderAnswer>;
     stop(worker: WorkerAddress, order: RunOrder, timeoutMs: number): Promise<OrderAnswer>;
     pace(worker: WorkerAddress, order: PaceOrder, timeoutMs: number): Promise<OrderAnswer>;
-    look(worker: WorkerAddress, order: LookOrder, timeoutMs: number): Promise<LookAnswer>;
+    poll(worker: WorkerAddress, order: PollOrder, timeoutMs: number): Promise<PollAnswer>;
 }
--- a/src/leader/workerRegistry.ts
+++ b/src/leader/workerRegistry.ts
@@ -8,8 +8,8 @@
 import type * as directory from "./directory";
 import * as entries from "./entries";
 import type * as heldLease from "./heldLease";
-import * as lives from "./life";
-import * as watch from "./watch";
+import * as lives from "./incarnation";
+import * as watch from "./taskWatchdog";
 import type * as workerSession from "./workerSession";
 
 export interface WorkerRegistryOptions {
@@ -19,7 +19,7 @@
     readonly maxLeaseMs: number;
     readonly book: Pick<bookOfTasks.Book, "loseTasksOf" | "crashJudge">;
     /** Leaves out workers that no queue can use. */
-    leaveOutUnknown<T extends entries.WorkerInfo>(listed: readonly T[]): readonly T[];
+    filterKnownServices<T extends entries.WorkerInfo>(listed: readonly T[]): readonly T[];
     openSession(worker: entries.WorkerEntry): workerSession.WorkerSession;
     /** Sees to it that a start that got no answer is not carried out by the worker's present life. */
     closeRun(worker: entries.WorkerEntry, task: string, run: number): void;
@@ -28,17 +28,17 @@
 }
 
 export interface WorkerRegistry {
-    readonly all: ReadonlyMap<string, entries.WorkerEntry>;
+    readonly workers: ReadonlyMap<string, entries.WorkerEntry>;
     /** The life of that id; one of which nothing else is known where it is not listed. */
-    getLife(id: string): entries.WorkerEntry;
+    getWorker(id: string): entries.WorkerEntry;
     /** The present life of the worker of that name. */
-    findPresent(name: string): entries.WorkerEntry | undefined;
+    findCurrent(name: string): entries.WorkerEntry | undefined;
     getSession(worker: entries.WorkerEntry): workerSession.WorkerSession | undefined;
-    takeDirectory(listed: readonly directory.ListedWorker[]): void;
+    applyDirectory(listed: readonly directory.ListedWorker[]): void;
     /** Another worker answers at the address, or all that ran there has lapsed. */
-    onGone(worker: entries.WorkerEntry, how: "otherLife" | "lapsed"): void;
+    onLost(worker: entries.WorkerEntry, how: "otherLife" | "lapsed"): void;
     /** The worker's next life has answered. */
-    onNextLife(worker: entries.WorkerEntry, next: lives.Life, lists: workerSession.WorkerLists): void;
+    onNextIncarnation(worker: entries.WorkerEntry, next: lives.Incarnation, lists: workerSession.PollResult): void;
     closeSessions(): void;
 }
 
@@ -49,16 +49,16 @@
     const workers = new Map<string, entries.WorkerEntry>();
     const sessions = new Map<string, workerSession.WorkerSession>();
     const byName = new Map<string, Set<entries.WorkerEntry>>();
-    const newest = lives.createNewestLives();
+    const newest = lives.createLatestIncarnations();
 
     const getLife = (id: string): entries.WorkerEntry => {
         let worker = workers.get(id);
         if (!worker) {
-            worker = entries.createWorkerEntry(entries.createUnknownWorker(id));
+            worker = entries.createWorkerEntry(entries.createUnknownWorkerInfo(id));
             worker.listed = false;
             workers.set(id, worker);
-            byName.set(worker.life.name, (byName.get(worker.life.name) ?? new Set()).add(worker));
-            newest.note(worker.life);
+            byName.set(worker.incarnation.name, (byName.get(worker.incarnation.name) ?? new Set()).add(worker));
+            newest.record(worker.incarnation);
         }
         return worker;
     };
@@ -66,34 +66,36 @@
         sessions.get(worker.id)?.close();
         sessions.delete(worker.id);
         workers.delete(worker.id);
-        byName.get(worker.life.name)?.delete(worker);
+        byName.get(worker.incarnation.name)?.delete(worker);
     };
     const openSession = (worker: entries.WorkerEntry) => {
-        book.crashJudge.noteWorker(worker.info);
+        book.crashJudge.recordWorkerSeen(worker.info);
         sessions.set(worker.id, options.openSession(worker));
     };
     /** `lists`: what the next life has told, if it has answered. */
-    const succeed = (before: entries.WorkerEntry, next: entries.WorkerEntry, lists?: workerSession.WorkerLists) => {
+    const succeed = (before: entries.WorkerEntry, next: entries.WorkerEntry, lists?: workerSession.PollResult) => {
         log.info("workerRestarted", { worker: next.id, before: before.id, tasks: before.tasks.size });
         sessions.get(before.id)?.close();
         sessions.delete(before.id);
         if (!sessions.has(next.id)) {
             openSession(next);
         }
-        book.loseTasksOf(before, "otherLife", { worker: next, lists });
-        for (const [task, run] of before.doubtfulStarts) {
+        book.loseTasksOf(before, "otherLife", { worker: next, pollResult: lists });
+        for (const [task, run] of before.unconfirmedStarts) {
             options.closeRun(next, task, run);
         }
         forget(before);
     };
     /** The lives before this one of which something may still be known. */
-    const listEarlier = ({ life }: entries.WorkerEntry) =>
-        [...byName.get(life.name) ?? []].filter(other => other.life.bornAt < life.bornAt);
+    const listEarlier = ({ incarnation: life }: entries.WorkerEntry) =>
+        [...byName.get(life.name) ?? []].filter(other => other.incarnation.startedAt < life.startedAt);
 
     /** `undefined`: the life is over, and the directory is behind. */
-    const toLife = ({ name, bornAt, ...info }: directory.ListedWorker): ListedLife | undefined => {
-        const present = newest.note({ name, bornAt });
-        return bornAt === 0 || present.bornAt === bornAt ? { ...info, id: lives.getLifeId(present) } : undefined;
+    const toLife = ({ name, startedAt: bornAt, ...info }: directory.ListedWorker): ListedLife | undefined => {
+        const present = newest.record({ name, startedAt: bornAt });
+        return bornAt === 0 || present.startedAt === bornAt
+            ? { ...info, id: lives.getIncarnationId(present) }
+            : undefined;
     };
     const noteListed = (info: ListedLife) => {
         const worker = getLife(info.id);
@@ -111,7 +113,7 @@
         for (const before of listEarlier(worker)) {
             const session = sessions.get(before.id);
             if (session && before.tasks.size > 0) {
-                session.lookNow();
+                session.pollNow();
                 return;
             }
             succeed(before, worker);
@@ -131,17 +133,17 @@
         else if (!sessions.has(worker.id)) {
             // Not listed since before the takeover: it cannot be reached, only waited for.
             const { leadership, maxLeaseMs } = options;
-            watch.loseWhenLapsed(worker, { clock: time, leadership, maxLeaseMs, book });
+            watch.markLostAfterExpiry(worker, { clock: time, leadership, maxLeaseMs, book });
         }
     };
 
     return {
-        all: workers,
-        getLife,
-        findPresent: name => workers.get(lives.getLifeId(newest.note({ name, bornAt: 0 }))),
+        workers: workers,
+        getWorker: getLife,
+        findCurrent: name => workers.get(lives.getIncarnationId(newest.record({ name, startedAt: 0 }))),
         getSession: worker => sessions.get(worker.id),
-        takeDirectory: all => {
-            const listed = options.leaveOutUnknown(all.map(toLife).filter(info => info !== undefined));
+        applyDirectory: all => {
+            const listed = options.filterKnownServices(all.map(toLife).filter(info => info !== undefined));
             const present = new Set(listed.map(info => info.id));
             for (const info of listed) {
                 const worker = noteListed(info);
@@ -156,15 +158,15 @@
             }
             options.onChanged();
         },
-        onGone: (worker, how) => {
+        onLost: (worker, how) => {
             book.loseTasksOf(worker, how);
             if (how === "otherLife") {
                 forget(worker);
             }
         },
-        onNextLife: (worker, { name, bornAt }, lists) => {
-            const life = newest.note({ name, bornAt });
-            const id = lives.getLifeId(life);
+        onNextIncarnation: (worker, { name, startedAt: bornAt }, lists) => {
+            const life = newest.record({ name, startedAt: bornAt });
+            const id = lives.getIncarnationId(life);
             const next = getLife(id);
             if (!next.listed) {
                 next.info = { ...worker.info, id };
--- a/src/leader/workerSession.ts
+++ b/src/leader/workerSession.ts
@@ -6,59 +6,59 @@
  */
 import type * as clock from "../clock/index";
 import type * as observe from "../observe/index";
-import * as firstLooks from "./firstLooks";
 import type * as heldLease from "./heldLease";
-import * as lapse from "./lapse";
-import * as lives from "./life";
+import * as lives from "./incarnation";
+import * as firstLooks from "./initialPollLimiter";
+import * as lapse from "./leaseExpiry";
 import * as port from "./workerPort";
 
-export interface WorkerLists {
+export interface PollResult {
     /** Monotonic time at which the look was sent: what was confirmed later may be missing from it. */
     readonly sentAt: number;
     readonly running: readonly port.RunningTask[];
     /** Ends not seen before. */
     readonly ended: readonly port.TaskEnd[];
     /** Whether the list of ends was complete. */
-    readonly complete: boolean;
+    readonly isEndListComplete: boolean;
 }
 
 export interface WorkerSessionOptions {
     readonly worker: port.WorkerAddress;
     /** The life that is meant: all that the session knows is known of it alone. */
-    readonly life: lives.Life;
+    readonly incarnation: lives.Incarnation;
     readonly port: port.WorkerPort;
     readonly clock: clock.Clock;
     readonly log: observe.Log;
     readonly leadership: heldLease.Leadership;
-    readonly firstLooks: firstLooks.FirstLooks;
+    readonly pollLimiter: firstLooks.InitialPollLimiter;
     /** Longest lease that the worker grants. */
     readonly maxLeaseMs: number;
     /** Whether tasks are there, or may be. */
     isBusy(): boolean;
     /** How long a look may wait at the worker. */
-    getWaitMs(): number;
+    getPollWaitMs(): number;
     /** Takes note of a look; resolves when what it said is stored. */
-    onLists(lists: WorkerLists): Promise<void>;
+    onPollResult(lists: PollResult): Promise<void>;
     /** Another worker answers at the address, or all that could run there has lapsed. */
-    onGone(how: "otherLife" | "lapsed"): void;
+    onLost(how: "otherLife" | "lapsed"): void;
     /** The worker's next life has answered: this one is over. */
-    onNextLife(next: lives.Life, lists: WorkerLists): void;
-    onHeard(heard: boolean): void;
+    onNextIncarnation(next: lives.Incarnation, lists: PollResult): void;
+    onReachability(heard: boolean): void;
     /** A look has failed before its time was over: its connection broke or was refused. */
-    onBrokenOff(): void;
+    onDisconnected(): void;
     onFenced(): void;
 }
 
 export interface WorkerSession {
     /** Whether the worker has answered within that time. */
-    hasContact(longestSilenceMs: number): boolean;
+    hasAnsweredWithin(longestSilenceMs: number): boolean;
     /** Whether it has, or answers to a look now. */
-    makeContact(longestSilenceMs: number): Promise<boolean>;
+    ensureReachable(longestSilenceMs: number): Promise<boolean>;
     start(order: Omit<port.StartOrder, "fencingToken" | "deadline">): Promise<port.OrderAnswer>;
     stop(order: Omit<port.RunOrder, "fencingToken">): Promise<port.OrderAnswer>;
     pace(order: Omit<port.PaceOrder, "fencingToken">): Promise<port.OrderAnswer>;
     /** Has the loop look without waiting for the answer to the look under way. */
-    lookNow(): void;
+    pollNow(): void;
     close(): void;
 }
 
@@ -74,13 +74,13 @@
 const LONGEST_CLOCK_AGE_MS = 10_000;
 
 export function createWorkerSession(options: WorkerSessionOptions): WorkerSession {
-    const { worker, life, clock: time, leadership } = options;
-    const id = lives.getLifeId(life);
+    const { worker, incarnation: life, clock: time, leadership } = options;
+    const id = lives.getIncarnationId(life);
     const controller = new AbortController();
     const { signal } = controller;
     let workerClock: lapse.ClockReading | undefined;
     /** Our time by which everything there has lapsed unless it is prolonged. */
-    let lapsedAt = lapse.getLapsedAt(Math.max(leadership.othersSilentAt, time.now()), options.maxLeaseMs);
+    let lapsedAt = lapse.getExpiresAt(Math.max(leadership.othersSilentAt, time.now()), options.maxLeaseMs);
     let lastEnd = 0;
     let recordedUpTo = 0;
     let acknowledgedUpTo = 0;
@@ -103,7 +103,7 @@
         if (shown !== undefined && shown > 0) {
             // The answer left the worker before it came here, so this is never too high, and a deadline made from it
             // never later than we count on: a look may have waited there for seconds.
-            workerClock = { shown, readAt: time.now() };
+            workerClock = { value: shown, readAt: time.now() };
         }
     };
     const getDeadline = () => {
@@ -111,24 +111,24 @@
             return undefined;
         }
         const now = time.now();
-        lapsedAt = Math.max(lapsedAt, lapse.getLapsedAt(now, options.maxLeaseMs));
-        return Math.floor(lapse.getLeastClock(workerClock, now) + options.maxLeaseMs);
+        lapsedAt = Math.max(lapsedAt, lapse.getExpiresAt(now, options.maxLeaseMs));
+        return Math.floor(lapse.getMinClock(workerClock, now) + options.maxLeaseMs);
     };
     const setHeard = (next: boolean) => {
         if (heard !== next) {
             heard = next;
             options.log.info(next ? "workerHeard" : "workerSilent", { worker: id });
         }
-        options.onHeard(next);
+        options.onReachability(next);
     };
     const endLife = (how: "otherLife" | "lapsed") => {
         if (!gone || how === "lapsed") {
             gone = how === "otherLife";
-            options.onGone(how);
+            options.onLost(how);
         }
     };
     /** What each answer says beyond its own order. */
-    const takeNote = (answer: port.OrderAnswer | port.LookAnswer) => {
+    const takeNote = (answer: port.OrderAnswer | port.PollAnswer) => {
         switch (answer.kind) {
             case "accepted":
             case "lists":
@@ -160,7 +160,7 @@
         lastLookAt = sentAt;
         const acknowledged = isUnacknowledged() && mayAcknowledge() ? recordedUpTo : 0;
         const timeoutMs = waitMs + LOOK_SLACK_MS;
-        const answer = await options.port.look(worker, {
+        const answer = await options.port.poll(worker, {
             fencingToken: leadership.token,
             recordedUpTo: acknowledged,
             // A silent worker's lease is not prolonged: such a look may be carried out late, and as long as the next
@@ -171,7 +171,7 @@
         if (signal.aborted) {
             return false;
         }
-        if (answer.kind === "lists" && answer.bornAt !== 0 && answer.bornAt !== life.bornAt) {
+        if (answer.kind === "lists" && answer.startedAt !== 0 && answer.startedAt !== life.startedAt) {
             takeAnswerOfOtherLife(answer, sentAt);
             return false;
         }
@@ -182,7 +182,7 @@
                 const isBrokenOff = isNoAnswer(answer) && time.now() - sentAt < timeoutMs;
                 options.log.info("lookFailed", { worker: id, answer: answer.kind, isBrokenOff });
                 if (isBrokenOff) {
-                    options.onBrokenOff();
+                    options.onDisconnected();
                 }
             }
             return false;
@@ -191,7 +191,7 @@
         if (!fenced) {
             // From here on the worker obeys no earlier leader, so only our own grants count.
             fenced = true;
-            lapsedAt = lapse.getLapsedAt(time.now(), options.maxLeaseMs);
+            lapsedAt = lapse.getExpiresAt(time.now(), options.maxLeaseMs);
         }
         mustLook = false;
         acknowledgedUpTo = Math.max(acknowledgedUpTo, acknowledged);
@@ -199,34 +199,34 @@
         lastEnd = fresh.reduce((max, end) => Math.max(max, end.number), lastEnd);
         const upTo = lastEnd;
         setHeard(true);
-        void options.onLists({
+        void options.onPollResult({
             sentAt,
             running: answer.running,
             ended: fresh,
-            complete: answer.ended.length < port.MAX_ENDS_LISTED,
+            isEndListComplete: answer.ended.length < port.MAX_ENDS_LISTED,
         }).then(() => {
             recordedUpTo = Math.max(recordedUpTo, upTo);
             wake?.();
         });
         return true;
     };
-    const takeAnswerOfOtherLife = (answer: Extract<port.LookAnswer, { kind: "lists"; }>, sentAt: number) => {
-        const { bornAt, running, ended } = answer;
-        if (bornAt < life.bornAt) {
+    const takeAnswerOfOtherLife = (answer: Extract<port.PollAnswer, { kind: "lists"; }>, sentAt: number) => {
+        const { startedAt: bornAt, running, ended } = answer;
+        if (bornAt < life.startedAt) {
             options.log.warn("lookOutdated", { worker: id, bornAt });
             return;
         }
         if (!gone) {
             gone = true;
-            options.onNextLife(
-                { name: life.name, bornAt },
-                { sentAt, running, ended, complete: ended.length < port.MAX_ENDS_LISTED },
+            options.onNextIncarnation(
+                { name: life.name, startedAt: bornAt },
+                { sentAt, running, ended, isEndListComplete: ended.length < port.MAX_ENDS_LISTED },
             );
         }
     };
     const takeFirstLook = async () => {
-        const { Turn } = firstLooks;
-        const leave = await options.firstLooks.enter(tried ? Turn.Again : options.isBusy() ? Turn.Busy : Turn.Idle);
+        const { PollPriority: Turn } = firstLooks;
+        const leave = await options.pollLimiter.acquire(tried ? Turn.Retry : options.isBusy() ? Turn.Busy : Turn.Idle);
         tried = true;
         const answered = !signal.aborted && leadership.mayProlong() && await look(0);
         leave();
@@ -269,7 +269,7 @@
                 continue;
             }
             const isAcknowledging = !unacknowledged || mayAcknowledge();
-            const waitMs = busy && !mustLook && workerClock && isAcknowledging ? options.getWaitMs() : 0;
+            const waitMs = busy && !mustLook && workerClock && isAcknowledging ? options.getPollWaitMs() : 0;
             if (!await (fenced ? look(waitMs) : takeFirstLook())) {
                 if (signal.aborted || gone) {
                     return;
@@ -318,8 +318,8 @@
     void loop();
 
     return {
-        hasContact,
-        makeContact,
+        hasAnsweredWithin: hasContact,
+        ensureReachable: makeContact,
         start: async request => {
             if (workerClock && !await makeContact(LONGEST_CLOCK_AGE_MS)) {
                 return { kind: "unreachable", message: "the worker's clock was read too long ago" };
@@ -335,7 +335,7 @@
             order(() => options.port.stop(worker, { ...request, fencingToken: leadership.token }, ORDER_TIMEOUT_MS)),
         pace: request =>
             order(() => options.port.pace(worker, { ...request, fencingToken: leadership.token }, ORDER_TIMEOUT_MS)),
-        lookNow: () => void runLookNow(),
+        pollNow: () => void runLookNow(),
         close: () => {
             controller.abort();
             wake?.();
@@ -343,7 +343,7 @@
     };
 }
 
-function isNoAnswer({ kind }: port.LookAnswer): boolean {
+function isNoAnswer({ kind }: port.PollAnswer): boolean {
     return kind === "unknown" || kind === "unreachable";
 }
 
