--- a/src/calls/__tests__/patience.test.ts
+++ b/src/calls/__tests__/callTimeout.test.ts
@@ -1,10 +1,10 @@
-import * as patience from "../patience";
+import * as patience from "../callTimeout";
 
 const STEP_MS = 10;
 
 interface Case {
     readonly name: string;
-    readonly patience: patience.Patience;
+    readonly patience: patience.CallTimeouts;
     /** Parts of the answer come so often, until the last one. */
     readonly heardEveryMs: number;
     readonly lastHeardMs: number;
@@ -22,14 +22,14 @@
     },
     {
         name: "for its beginning",
-        patience: { timeoutMs: 100, mostMs: 1_000 },
+        patience: { timeoutMs: 100, totalTimeoutMs: 1_000 },
         heardEveryMs: 20,
         lastHeardMs: 0,
         overMs: 100,
     },
     {
         name: "for the next part of it",
-        patience: { timeoutMs: 100, mostMs: 1_000 },
+        patience: { timeoutMs: 100, totalTimeoutMs: 1_000 },
         heardEveryMs: 20,
         lastHeardMs: 400,
         overMs: 500,
@@ -37,7 +37,7 @@
     {
         // Symptom: a reader waits for ever. Cause: whoever answers sends a byte now and then, and never ends.
         name: "for an answer that never ends",
-        patience: { timeoutMs: 100, mostMs: 1_000 },
+        patience: { timeoutMs: 100, totalTimeoutMs: 1_000 },
         heardEveryMs: 90,
         lastHeardMs: Infinity,
         overMs: 1_000,
@@ -50,11 +50,11 @@
 
     test.each(cases)("$name", ({ patience: given, heardEveryMs, lastHeardMs, overMs }) => {
         const overs: number[] = [];
-        const wait = patience.startWait(given, afterMs => overs.push(afterMs));
+        const wait = patience.startCallTimer(given, afterMs => overs.push(afterMs));
         for (let now = STEP_MS; now < overMs; now += STEP_MS) {
             jest.advanceTimersByTime(STEP_MS);
             if (now % heardEveryMs === 0 && now <= lastHeardMs) {
-                wait.hear();
+                wait.refresh();
             }
             expect(overs).toEqual([]);
         }
@@ -66,7 +66,7 @@
 
     test("and not beyond its end", () => {
         const overs: number[] = [];
-        patience.startWait({ timeoutMs: 100 }, afterMs => overs.push(afterMs)).end();
+        patience.startCallTimer({ timeoutMs: 100 }, afterMs => overs.push(afterMs)).stop();
         jest.advanceTimersByTime(1_000);
         expect(overs).toEqual([]);
     });
--- a/src/calls/patience.ts
+++ b/src/calls/callTimeout.ts
@@ -7,22 +7,25 @@
  * for such an answer sets `mostMs`, and `timeoutMs` then bounds the time without a byte of it.
  */
 
-export interface Patience {
+export interface CallTimeouts {
     /** From the call to the end of the answer; with `mostMs`, to its beginning, and from one part of it to the next. */
     readonly timeoutMs: number;
     /** From the call to the end of an answer that keeps coming. */
-    readonly mostMs?: number;
+    readonly totalTimeoutMs?: number;
 }
 
-export interface Wait {
+export interface CallTimer {
     /** A part of the answer has come. */
-    hear(): void;
+    refresh(): void;
     /** The call is over: `onOver` is not called any more. */
-    end(): void;
+    stop(): void;
 }
 
 /** Calls `onOver` once, with the milliseconds since the call, when it has to be given up. */
-export function startWait({ timeoutMs, mostMs }: Patience, onOver: (afterMs: number) => void): Wait {
+export function startCallTimer(
+    { timeoutMs, totalTimeoutMs: mostMs }: CallTimeouts,
+    onOver: (afterMs: number) => void,
+): CallTimer {
     const startedAt = performance.now();
     let heardAt = startedAt;
     let ended = false;
@@ -46,10 +49,10 @@
     };
     arm();
     return {
-        hear: () => {
+        refresh: () => {
             heardAt = performance.now();
         },
-        end: () => {
+        stop: () => {
             ended = true;
             clearTimeout(timer);
         },
--- a/src/calls/httpClient.ts
+++ b/src/calls/httpClient.ts
@@ -3,9 +3,9 @@
  * a typed outcome that says whether the call may have been carried out.
  */
 import * as http from "node:http";
-import * as patience from "./patience";
+import * as patience from "./callTimeout";
 
-export interface HttpCall extends patience.Patience {
+export interface HttpCall extends patience.CallTimeouts {
     /** `IP:PORT`. */
     readonly address: string;
     readonly method: "GET" | "POST" | "PUT" | "DELETE";
@@ -77,12 +77,12 @@
             path: call.path,
             headers,
         });
-        const wait = patience.startWait(call, afterMs => {
+        const wait = patience.startCallTimer(call, afterMs => {
             // The connection may have fallen silent, and the next call needs a new one.
             req.destroy(new Error(describeEnd(afterMs, receivedBytes)));
         });
         const finish = (outcome: HttpOutcome) => {
-            wait.end();
+            wait.stop();
             resolve(outcome);
         };
         req.once("socket", socket => {
@@ -97,9 +97,9 @@
         req.on("error", err => finish({ kind: "noAnswer", sent, message: err.message }));
         req.once("response", res => {
             const chunks: Buffer[] = [];
-            wait.hear();
+            wait.refresh();
             res.on("data", (chunk: Buffer) => {
-                wait.hear();
+                wait.refresh();
                 receivedBytes += chunk.length;
                 chunks.push(chunk);
             });
--- a/src/catalog/__tests__/currentCatalog.test.ts
+++ b/src/catalog/__tests__/currentCatalog.test.ts
@@ -35,7 +35,7 @@
     ];
     test.each(cases)("%s%s goes to %s", (host, path, queue, rest) => {
         const current = catalogs.createCurrentCatalog();
-        current.accept(createCatalog(1, []));
+        current.applyIfNewer(createCatalog(1, []));
         const found = current.findQueue(host, path);
         expect(found?.queue.name).toBe(queue);
         expect(found?.rest ?? "").toBe(rest);
@@ -45,10 +45,10 @@
         // Symptom: a key that was taken away works again. Sequence: a feed is read anew after a gap, from a reader that
         // is behind. Cause: whatever came last counted.
         const current = catalogs.createCurrentCatalog();
-        expect(current.accept(createCatalog(5, ["new"]))).toBe(true);
-        expect(current.accept(createCatalog(4, ["old"]))).toBe(false);
-        expect(current.accept(createCatalog(5, ["old"]))).toBe(false);
-        expect(current.getAccountOfKey("old")).toBeUndefined();
-        expect(current.getAccountOfKey("new")?.name).toBe("account");
+        expect(current.applyIfNewer(createCatalog(5, ["new"]))).toBe(true);
+        expect(current.applyIfNewer(createCatalog(4, ["old"]))).toBe(false);
+        expect(current.applyIfNewer(createCatalog(5, ["old"]))).toBe(false);
+        expect(current.getAccountByKey("old")).toBeUndefined();
+        expect(current.getAccountByKey("new")?.name).toBe("account");
     });
 });
--- a/src/catalog/__tests__/freshness.test.ts
+++ b/src/catalog/__tests__/freshness.test.ts
@@ -44,7 +44,7 @@
             log: { info: write, warn: write, error: write },
             getVersion: () => step.version,
             getAgeMs: () => step.ageMs,
-            getMostMs: () => MOST_MS,
+            getMaxAgeMs: () => MOST_MS,
         });
         for (step of steps) {
             told.length = 0;
--- a/src/catalog/catalog.ts
+++ b/src/catalog/catalog.ts
@@ -1,6 +1,6 @@
 /** The operator's configuration in force: queues, services, client accounts and limits on requests. */
 
-export interface AdviceTerms {
+export interface AdviceTimings {
     /** What a call to the adviser takes, and what each named worker adds to it. */
     readonly decideMs: number;
     readonly eachMs: number;
@@ -23,7 +23,7 @@
     readonly objectiveMs: number;
     readonly needsKey: boolean;
     /** Set where an adviser decides which workers may run a step. */
-    readonly advice?: AdviceTerms;
+    readonly advice?: AdviceTimings;
 }
 
 export interface Account {
--- a/src/catalog/currentCatalog.ts
+++ b/src/catalog/currentCatalog.ts
@@ -9,11 +9,11 @@
 export interface CurrentCatalog {
     get(): catalog.Catalog | undefined;
     /** Returns whether the version was put in force. */
-    accept(next: catalog.Catalog): boolean;
+    applyIfNewer(next: catalog.Catalog): boolean;
     /** The queue with the longest prefix of the path at this host, and what follows the prefix. */
     findQueue(host: string, path: string): { readonly queue: catalog.Queue; readonly rest: string; } | undefined;
     getQueue(name: string): catalog.Queue | undefined;
-    getAccountOfKey(key: string): catalog.Account | undefined;
+    getAccountByKey(key: string): catalog.Account | undefined;
     getAccount(name: string): catalog.Account | undefined;
 }
 
@@ -29,7 +29,7 @@
     let lookups: Lookups | undefined;
     return {
         get: () => lookups?.catalog,
-        accept: next => {
+        applyIfNewer: next => {
             if (lookups && next.version <= lookups.catalog.version) {
                 return false;
             }
@@ -41,7 +41,7 @@
             return queue && { queue, rest: path.slice(queue.pathPrefix.length) };
         },
         getQueue: name => lookups?.queuesByName.get(name),
-        getAccountOfKey: key => lookups?.accountsByKey.get(key),
+        getAccountByKey: key => lookups?.accountsByKey.get(key),
         getAccount: name => lookups?.accountsByName.get(name),
     };
 }
--- a/src/catalog/freshness.ts
+++ b/src/catalog/freshness.ts
@@ -18,7 +18,7 @@
     /** Milliseconds since the moment as of which the configuration is known for certain. */
     getAgeMs(): number;
     /** How long after its confirmation a change may take to be in force everywhere. */
-    getMostMs(): number;
+    getMaxAgeMs(): number;
 }
 
 export interface Freshness {
@@ -31,7 +31,7 @@
         isFresh: () => {
             const version = options.getVersion();
             const ageMs = options.getAgeMs();
-            const mostMs = options.getMostMs();
+            const mostMs = options.getMaxAgeMs();
             const isFresh = ageMs <= mostMs;
             if (version !== undefined && isFresh !== wasFresh) {
                 wasFresh = isFresh;
--- a/src/emulator/site.ts
+++ b/src/emulator/site.ts
@@ -157,7 +157,7 @@
         const isOther = (name: string) => name !== getInstanceName(number);
         const scheduler = schedulers.createScheduler({
             instance: getInstanceName(number),
-            life: `life-${++lives}`,
+            incarnation: `life-${++lives}`,
             power: options.getPower?.(number) ?? 1,
             watchAddress: getInstanceName(number),
             peerAddress: getInstanceName(number),
@@ -199,7 +199,7 @@
             machines: options.machines ?? NO_MACHINES,
             waves: options.waves ?? NO_WAVES,
             policy: options.policy ?? decisions.POLICIES.worth,
-            getBounds: () => ({
+            getSettings: () => ({
                 maxLeaseMs,
                 upkeepMs: UPKEEP_MS,
                 retentionMs: options.retentionMs ?? DEFAULT_RETENTION_MS,
@@ -214,7 +214,7 @@
             meter: options.meter,
             signal: controller.signal,
         });
-        scheduler.catalog.accept(current);
+        scheduler.catalog.applyIfNewer(current);
         return { scheduler, controller, freezer };
     };
     /** Heartbeats of an instance, as long as its present life goes on. */
@@ -261,7 +261,7 @@
         count: (queue, instance) => instances[instance]!.scheduler.intake.count(callerOf(instance, queue, "")),
         configure: catalog => {
             current = catalog;
-            instances.forEach(instance => instance.scheduler.catalog.accept(catalog));
+            instances.forEach(instance => instance.scheduler.catalog.applyIfNewer(catalog));
         },
         getLeader: () => {
             const number = instances.findIndex(instance =>
--- a/src/intake/__tests__/intake.test.ts
+++ b/src/intake/__tests__/intake.test.ts
@@ -57,8 +57,8 @@
         clock: time,
         log: { info: () => undefined, warn: () => undefined, error: () => undefined },
         ...telemetry.createMetrics(),
-        getRowBytes: () => 65_536,
-        getWaiting: () => ({
+        getMaxRowBytes: () => 65_536,
+        getPublishedCounts: () => ({
             ...(options.counts ?? { counts: { q: 4 }, complete: true }),
             ageMs: options.countsAgeMs ?? 0,
         }),
--- a/src/intake/intake.ts
+++ b/src/intake/intake.ts
@@ -39,9 +39,9 @@
     readonly log: observe.Log;
     readonly meter: observe.Meter;
     /** The longest value of a row. */
-    getRowBytes(): number;
+    getMaxRowBytes(): number;
     /** Counts of waiting jobs as the leader last published them, and their age. */
-    getWaiting(): PublishedCounts | undefined;
+    getPublishedCounts(): PublishedCounts | undefined;
 }
 
 export interface PublishedCounts {
@@ -195,7 +195,7 @@
     };
 
     const findObstacle = (spec: work.JobSpec, value: string): IntakeReply | undefined => {
-        const rowBytes = options.getRowBytes();
+        const rowBytes = options.getMaxRowBytes();
         const bytes = Buffer.byteLength(value);
         const reason = work.findExcess(spec, rowBytes)
             ?? (bytes > rowBytes ? `${bytes} bytes, more than the ${rowBytes} of a row` : undefined);
@@ -307,7 +307,7 @@
         },
         count: async caller => {
             const startedAt = time.now();
-            const published = options.getWaiting();
+            const published = options.getPublishedCounts();
             const recent = published && published.ageMs <= COUNTS_AGE_MS ? published : undefined;
             const known = recent?.counts[caller.queue.name] ?? (recent?.complete ? 0 : undefined);
             const reply: IntakeReply = known === undefined
--- a/src/leader/followIntake.ts
+++ b/src/leader/followIntake.ts
@@ -25,7 +25,7 @@
     const { store, signal } = options;
     let after = options.after;
     while (!signal.aborted) {
-        const changes = await store.feed(work.Table.Jobs, after, WAIT_MS, WAIT_MS + SLACK_MS, rows.MOST_ANSWER_MS);
+        const changes = await store.feed(work.Table.Jobs, after, WAIT_MS, WAIT_MS + SLACK_MS, rows.MAX_ANSWER_MS);
         if (signal.aborted) {
             return;
         }
@@ -40,7 +40,7 @@
                     work.Table.Jobs,
                     work.INTAKE_PARTS,
                     READ_SILENCE_MS,
-                    rows.MOST_ANSWER_MS,
+                    rows.MAX_ANSWER_MS,
                 );
                 if (all.kind === "read") {
                     options.log.info("intakeReadAnew", { rows: all.rows.length, version: all.version });
--- a/src/leader/lease.ts
+++ b/src/leader/lease.ts
@@ -129,10 +129,10 @@
             all.forEach(observe);
         },
         onChanges: changes => changes.filter(row => !row.removed).forEach(observe),
-        onContact: () => {
+        onReadSucceeded: () => {
             contactSince ??= time.now();
         },
-        onLoss: () => {
+        onReadFailed: () => {
             contactSince = undefined;
         },
     });
--- a/src/leader/takeover.ts
+++ b/src/leader/takeover.ts
@@ -93,7 +93,7 @@
     parts: readonly string[],
 ): Promise<Extract<rows.ReadResult, { kind: "read"; }> | undefined> {
     while (!options.signal.aborted) {
-        const all = await rows.readParts(options.store, table, parts, READ_SILENCE_MS, rows.MOST_ANSWER_MS);
+        const all = await rows.readParts(options.store, table, parts, READ_SILENCE_MS, rows.MAX_ANSWER_MS);
         if (all.kind === "read") {
             return all;
         }
--- a/src/leader/term.ts
+++ b/src/leader/term.ts
@@ -49,7 +49,7 @@
     readonly waves: machines.WaveBoard;
     readonly policy: decisions.Policy;
     /** Unique to this life of the instance. */
-    readonly life: string;
+    readonly incarnation: string;
     /** Longest lease of what runs on a worker. */
     readonly maxLeaseMs: number;
     /** How long after a worker's capacity has shrunk a start may count on what it was. */
@@ -346,7 +346,7 @@
             clock: time,
             log,
             leadership,
-            holder: options.life,
+            holder: options.incarnation,
             upkeepMs: options.upkeepMs,
             book,
             getWorker: registry.findCurrent,
--- a/src/leader/upkeepRows.ts
+++ b/src/leader/upkeepRows.ts
@@ -35,7 +35,7 @@
     machineIds: readonly string[],
     now: number,
 ): Promise<stagesOfWave.Stages | undefined> {
-    const result = await rows.readAll(options.store, getRange(wave), options.timeoutMs, rows.MOST_ANSWER_MS);
+    const result = await rows.readAll(options.store, getRange(wave), options.timeoutMs, rows.MAX_ANSWER_MS);
     if (result.kind !== "read") {
         return undefined;
     }
--- a/src/relay/__tests__/peers.test.ts
+++ b/src/relay/__tests__/peers.test.ts
@@ -1,7 +1,7 @@
 import * as calls from "../../calls/index";
 import * as relay from "../index";
 
-const REQUEST: relay.CallersRequest = {
+const REQUEST: relay.CallerRequest = {
     method: "POST",
     path: "/q/0123456789abcdef",
     host: "h.example",
@@ -13,8 +13,8 @@
 /** No test waits for it but the one of a peer that is silent. */
 const TIMEOUT_MS = 5_000;
 
-async function open(handle: (request: relay.CallersRequest) => Promise<relay.CallersReply>, isFresh = true) {
-    const route = relay.createRequestRoute({
+async function open(handle: (request: relay.CallerRequest) => Promise<relay.CallerReply>, isFresh = true) {
+    const route = relay.createForwardedRequestRoute({
         getConfigurationVersion: () => 7,
         isConfigurationFresh: () => isFresh,
         getPeers: () => ["10.0.0.1:1"],
@@ -27,7 +27,7 @@
     return {
         address,
         server,
-        send: (request: relay.CallersRequest, options: { timeoutMs?: number; leastVersion?: number; } = {}) =>
+        send: (request: relay.CallerRequest, options: { timeoutMs?: number; leastVersion?: number; } = {}) =>
             send(address, { request, leastVersion: options.leastVersion ?? 0 }, options.timeoutMs ?? TIMEOUT_MS),
         close: async () => {
             client.close();
@@ -37,13 +37,13 @@
 }
 
 describe("a request that is passed on", () => {
-    const replies: ReadonlyArray<{ readonly name: string; readonly reply: relay.CallersReply; }> = [
+    const replies: ReadonlyArray<{ readonly name: string; readonly reply: relay.CallerReply; }> = [
         { name: "accepted", reply: { status: 200, body: { state: "running" } } },
         { name: "refused", reply: { status: 503, retryAfterMs: 900, body: { error: "r" } } },
         { name: "without a body", reply: { status: 410 } },
     ];
     test.each(replies)("arrives as it was, and its reply comes back: $name", async ({ reply }) => {
-        const seen: relay.CallersRequest[] = [];
+        const seen: relay.CallerRequest[] = [];
         const peer = await open(async request => {
             seen.push(request);
             return reply;
@@ -68,7 +68,7 @@
     });
 
     test("to a peer that does not answer in time may have been carried out", async () => {
-        const held: Array<(reply: relay.CallersReply) => void> = [];
+        const held: Array<(reply: relay.CallerReply) => void> = [];
         const peer = await open(() => new Promise(resolve => held.push(resolve)));
         const answer = await peer.send(REQUEST, { timeoutMs: 30 });
         expect(answer).toMatchObject({ kind: "silent" });
@@ -104,7 +104,7 @@
     test.each(malformed.map(text => ({ text, name: text.slice(0, 30) })))(
         "that is malformed reaches nobody: $name",
         async ({ text }) => {
-            const seen: relay.CallersRequest[] = [];
+            const seen: relay.CallerRequest[] = [];
             const peer = await open(async request => {
                 seen.push(request);
                 return { status: 200 };
@@ -127,7 +127,7 @@
     test("to a stopping instance is answered, and then no more are taken", async () => {
         // Symptom: a request is left open at each replacement of a peer. Sequence: it is being handled when the peer
         // stops. Cause: the peer closes its connections instead of finishing.
-        const held: Array<(reply: relay.CallersReply) => void> = [];
+        const held: Array<(reply: relay.CallerReply) => void> = [];
         const peer = await open(() => new Promise(resolve => held.push(resolve)));
         const pending = peer.send(REQUEST);
         while (held.length === 0) {
--- a/src/relay/__tests__/relay.test.ts
+++ b/src/relay/__tests__/relay.test.ts
@@ -1,7 +1,7 @@
 import * as clocks from "../../clock/index";
 import * as relay from "../index";
 
-const POST: relay.CallersRequest = {
+const POST: relay.CallerRequest = {
     method: "POST",
     path: "/q/1",
     host: "h",
@@ -10,19 +10,19 @@
     deadlineMs: 3_000,
     body: "{}",
 };
-const GET: relay.CallersRequest = { ...POST, method: "GET", body: "" };
+const GET: relay.CallerRequest = { ...POST, method: "GET", body: "" };
 
-const accepted: relay.CallersReply = { status: 200, body: {} };
-const refused: relay.CallersReply = { status: 503, retryAfterMs: 900, body: { error: "here" } };
-const undecided: relay.CallersReply = { status: 504, retryAfterMs: 900, body: { error: "here" } };
-const silent: relay.PeerAnswer = { kind: "silent", message: "" };
-const unreachable: relay.PeerAnswer = { kind: "unreachable", message: "" };
+const accepted: relay.CallerReply = { status: 200, body: {} };
+const refused: relay.CallerReply = { status: 503, retryAfterMs: 900, body: { error: "here" } };
+const undecided: relay.CallerReply = { status: 504, retryAfterMs: 900, body: { error: "here" } };
+const silent: relay.ForwardResult = { kind: "silent", message: "" };
+const unreachable: relay.ForwardResult = { kind: "unreachable", message: "" };
 
 function replied(
-    reply: relay.CallersReply,
+    reply: relay.CallerReply,
     configurationVersion = 1,
     peers: readonly string[] = [],
-): relay.PeerAnswer {
+): relay.ForwardResult {
     return { kind: "replied", passed: { reply, configurationVersion, peers } };
 }
 
@@ -30,7 +30,7 @@
     readonly storeAway?: boolean;
     /** Whether a change may be due that is not known here. */
     readonly stale?: boolean;
-    readonly answers?: Readonly<Record<string, relay.PeerAnswer>>;
+    readonly answers?: Readonly<Record<string, relay.ForwardResult>>;
     /** Known without being named by another; the ones that answer otherwise. */
     readonly known?: readonly string[];
     readonly version?: () => number;
@@ -47,7 +47,7 @@
         meter: { increment: () => undefined, record: () => undefined, registerGauges: () => () => undefined },
         getConfigurationVersion: options.version ?? (() => 1),
         isConfigurationFresh: () => !options.stale,
-        isStoreAway: () => options.storeAway ?? false,
+        isStoreUnreachable: () => options.storeAway ?? false,
         ownAddress: "self",
         getPeers: () => options.known ?? Object.keys(answers),
         send: async (peer, passed) => {
@@ -63,10 +63,10 @@
     const cases: ReadonlyArray<
         OpenOptions & {
             readonly name: string;
-            readonly request?: relay.CallersRequest;
+            readonly request?: relay.CallerRequest;
             /** What comes of it here. */
-            readonly here?: relay.CallersReply;
-            readonly reply: relay.CallersReply;
+            readonly here?: relay.CallerReply;
+            readonly reply: relay.CallerReply;
             readonly asked: readonly string[];
             /** Whether it is handled here as well. */
             readonly handled: boolean;
@@ -234,7 +234,7 @@
         // Symptom: a key that was taken away works again. Sequence: an instance that is cut off passes requests on,
         // whose callers see the new configuration; then the peer is lost. Cause: the old one is still in force here.
         let version = 3;
-        const answers: Record<string, relay.PeerAnswer> = { leader: replied(accepted, 4) };
+        const answers: Record<string, relay.ForwardResult> = { leader: replied(accepted, 4) };
         const opened = open({ storeAway: true, answers, version: () => version });
         expect(await opened.relay.answer(POST, async () => accepted)).toMatchObject(accepted);
         answers["leader"] = unreachable;
@@ -248,7 +248,7 @@
         // configurations follow each other closely; requests are passed on to two peers in turn. Cause: the second
         // peer is behind the first one, or behind the instance that passes on.
         let version = 5;
-        const answers: Record<string, relay.PeerAnswer> = { leader: replied(accepted, 4) };
+        const answers: Record<string, relay.ForwardResult> = { leader: replied(accepted, 4) };
         const opened = open({ storeAway: true, answers, version: () => version });
         const ask = () => opened.relay.answer(POST, async () => refused);
         await ask();
--- a/src/relay/requestRoute.ts
+++ b/src/relay/forwardedRequestRoute.ts
@@ -4,17 +4,17 @@
 import * as peerClient from "./peerClient";
 import * as replies from "./replies";
 
-export interface RequestRouteOptions {
+export interface ForwardedRequestRouteOptions {
     /** Version of the configuration in force here; 0: none. */
     getConfigurationVersion(): number;
     /** Whether requests may be handled under it. */
     isConfigurationFresh(): boolean;
     /** Addresses of other instances. */
     getPeers(): readonly string[];
-    handle(request: messages.CallersRequest): Promise<messages.CallersReply>;
+    handle(request: messages.CallerRequest): Promise<messages.CallerReply>;
 }
 
-export function createRequestRoute(options: RequestRouteOptions): calls.CallRoute {
+export function createForwardedRequestRoute(options: ForwardedRequestRouteOptions): calls.CallRoute {
     return {
         path: peerClient.REQUEST_PATH,
         handle: async text => {
--- a/src/relay/index.ts
+++ b/src/relay/index.ts
@@ -1,5 +1,5 @@
 /** Callers' requests that this instance cannot serve, passed on to one that can. */
-export type { CallersReply, CallersRequest, PassedReply, PassedRequest } from "./messages";
+export { createForwardedRequestRoute } from "./forwardedRequestRoute";
+export type { CallerReply, CallerRequest, ForwardedReply, ForwardedRequest } from "./messages";
 export { createPeerClient } from "./peerClient";
-export { createRelay, type PeerAnswer, type Relay, type RelayOptions } from "./relay";
-export { createRequestRoute } from "./requestRoute";
+export { createRelay, type ForwardResult, type Relay, type RelayOptions } from "./relay";
--- a/src/relay/messages.ts
+++ b/src/relay/messages.ts
@@ -1,6 +1,6 @@
 /** What one instance passes on to another, and gets back: a caller's request as it came, and the reply to it. */
 
-export interface CallersRequest {
+export interface CallerRequest {
     readonly method: string;
     /** Without the query. */
     readonly path: string;
@@ -15,13 +15,13 @@
 }
 
 /** A request as it is passed on. */
-export interface PassedRequest {
-    readonly request: CallersRequest;
+export interface ForwardedRequest {
+    readonly request: CallerRequest;
     /** It must not be handled under an older configuration than this. */
     readonly leastVersion: number;
 }
 
-export interface CallersReply {
+export interface CallerReply {
     /** Of HTTP, as the caller gets it. */
     readonly status: number;
     readonly body?: unknown;
@@ -29,19 +29,19 @@
     readonly retryAfterMs?: number;
 }
 
-export interface PassedReply {
-    readonly reply: CallersReply;
+export interface ForwardedReply {
+    readonly reply: CallerReply;
     /** Version of the configuration that it was given under; 0: none. */
     readonly configurationVersion: number;
     /** Other instances that the one that replied knows: they may serve what it cannot. */
     readonly peers: readonly string[];
 }
 
-export function encode(message: PassedRequest | PassedReply): string {
+export function encode(message: ForwardedRequest | ForwardedReply): string {
     return JSON.stringify(message);
 }
 
-export function decodeRequest(text: string): PassedRequest | undefined {
+export function decodeRequest(text: string): ForwardedRequest | undefined {
     const envelope = parse(text);
     const fields = toFields(envelope?.["request"]);
     if (!fields || typeof fields["method"] !== "string" || typeof fields["path"] !== "string") {
@@ -61,7 +61,7 @@
     };
 }
 
-export function decodeReply(text: string): PassedReply | undefined {
+export function decodeReply(text: string): ForwardedReply | undefined {
     const fields = parse(text);
     const reply = toFields(fields?.["reply"]);
     if (!fields || !reply) {
--- a/src/relay/relay.ts
+++ b/src/relay/relay.ts
@@ -15,8 +15,8 @@
 import type * as messages from "./messages";
 import * as replies from "./replies";
 
-export type PeerAnswer =
-    | { readonly kind: "replied"; readonly passed: messages.PassedReply; }
+export type ForwardResult =
+    | { readonly kind: "replied"; readonly passed: messages.ForwardedReply; }
     /** It never saw the request. */
     | { readonly kind: "unreachable"; readonly message: string; }
     /** It may have carried the request out, or may still do so. */
@@ -30,20 +30,20 @@
     getConfigurationVersion(): number;
     /** Whether callers may be served under it; not where a change may be due that has not been read here. */
     isConfigurationFresh(): boolean;
-    isStoreAway(): boolean;
+    isStoreUnreachable(): boolean;
     /** Where other instances pass requests on to this one. */
     readonly ownAddress: string;
     /** Addresses of other instances, the likeliest to serve first. */
     getPeers(): readonly string[];
-    send(peer: string, passed: messages.PassedRequest, timeoutMs: number): Promise<PeerAnswer>;
+    send(peer: string, passed: messages.ForwardedRequest, timeoutMs: number): Promise<ForwardResult>;
 }
 
 export interface Relay {
     /** `handle` serves the request here; it is asked when no other instance can, or nothing is wrong here. */
     answer(
-        request: messages.CallersRequest,
-        handle: () => Promise<messages.CallersReply>,
-    ): Promise<messages.CallersReply>;
+        request: messages.CallerRequest,
+        handle: () => Promise<messages.CallerReply>,
+    ): Promise<messages.CallerReply>;
 }
 
 /** Peers asked for one request: the leader, and one that the leader names where it is cut off itself. */
@@ -85,9 +85,9 @@
     };
     /** `undefined`: nobody could serve it, and nobody has carried it out. */
     const pass = async (
-        request: messages.CallersRequest,
+        request: messages.CallerRequest,
         deadlineAt: number,
-    ): Promise<messages.CallersReply | undefined> => {
+    ): Promise<messages.CallerReply | undefined> => {
         for (let tries = 0; tries < MOST_PEERS; tries++) {
             const peer = choosePeer();
             const sentAt = time.now();
@@ -139,7 +139,7 @@
      * the next request is handled here under the old one: a key that was taken away works again. Or a change is due
      * that this instance has not been able to read.
      */
-    const handleHere = async (handle: () => Promise<messages.CallersReply>): Promise<messages.CallersReply> =>
+    const handleHere = async (handle: () => Promise<messages.CallerReply>): Promise<messages.CallerReply> =>
         options.getConfigurationVersion() < versionSeen || !options.isConfigurationFresh()
             ? replies.OUT_OF_DATE
             : handle();
@@ -147,7 +147,7 @@
     return {
         answer: async (request, handle) => {
             const deadlineAt = time.now() + request.deadlineMs;
-            if (options.isStoreAway() || !options.isConfigurationFresh()) {
+            if (options.isStoreUnreachable() || !options.isConfigurationFresh()) {
                 return await pass(request, deadlineAt) ?? handleHere(handle);
             }
             const reply = await handleHere(handle);
@@ -157,6 +157,6 @@
     };
 }
 
-function mayChange(request: messages.CallersRequest): boolean {
+function mayChange(request: messages.CallerRequest): boolean {
     return request.method !== "GET";
 }
--- a/src/rows/__tests__/followTable.test.ts
+++ b/src/rows/__tests__/followTable.test.ts
@@ -43,7 +43,7 @@
         table: TABLE,
         part: "",
         signal: stopping.signal,
-        everyMs,
+        pollIntervalMs: everyMs,
         onSnapshot: all => all.forEach(take),
         onChanges: changes => changes.forEach(row => row.removed ? known.delete(row.key) : take(row)),
     });
--- a/src/rows/__tests__/storeHealth.test.ts
+++ b/src/rows/__tests__/storeHealth.test.ts
@@ -34,8 +34,8 @@
         clock: time,
         signal: controller.signal,
         probe: { table: "t", part: "" },
-        onAway: () => events.push(`away at ${time.now()}`),
-        onBack: () => events.push(`back at ${time.now()}`),
+        onUnreachable: () => events.push(`away at ${time.now()}`),
+        onReachable: () => events.push(`back at ${time.now()}`),
     });
     return {
         time,
--- a/src/rows/followTable.ts
+++ b/src/rows/followTable.ts
@@ -13,7 +13,7 @@
 import type * as observe from "../observe/index";
 import * as rows from "./index";
 import * as readAll from "./readAll";
-import * as tableContact from "./tableContact";
+import * as tableContact from "./tableFreshness";
 
 export interface TableFollowerOptions {
     readonly store: rows.RowStore;
@@ -27,14 +27,14 @@
      * Asks for changes so often, and waits for none: for a table of which some row changes all the time, where each
      * change would cost a call. Without it a poll waits for a change.
      */
-    readonly everyMs?: number;
+    readonly pollIntervalMs?: number;
     /** All rows of the table, after the first read and after each gap. */
     onSnapshot(all: readonly rows.Row[]): void;
     onChanges(changes: readonly rows.RowChange[]): void;
     /** Called after each answer of the store, also when nothing changed, but for those that leave changes out. */
-    onContact?(): void;
+    onReadSucceeded?(): void;
     /** Called when a call got no answer or was turned away. */
-    onLoss?(message: string): void;
+    onReadFailed?(message: string): void;
 }
 
 export interface TableFollower {
@@ -56,13 +56,13 @@
 const CATCH_UP_MS = 3_000;
 
 export function followTable(options: TableFollowerOptions): TableFollower {
-    const contact = tableContact.createTableContact(options);
+    const contact = tableContact.createTableFreshness(options);
     return { done: follow(options, contact), getAgeMs: contact.getAgeMs };
 }
 
 /** Ends without a word after the signal, also when an answer is on its way: its taker may be gone. */
-async function follow(options: TableFollowerOptions, contact: tableContact.TableContact): Promise<void> {
-    const { store, clock: time, table, signal, everyMs = 0 } = options;
+async function follow(options: TableFollowerOptions, contact: tableContact.TableFreshness): Promise<void> {
+    const { store, clock: time, table, signal, pollIntervalMs: everyMs = 0 } = options;
     const fullWaitMs = everyMs > 0 ? 0 : POLL_WAIT_MS;
     let waitMs = fullWaitMs;
     /**
@@ -75,24 +75,24 @@
     /** What others could not write while the store was away they write when it is back, and it is waited for. */
     const getPauseMs = () => time.now() - lostAt < CATCH_UP_MS ? Math.min(everyMs, RETRY_PAUSE_MS) : everyMs;
     const keep = (askedAt: clock.Moment, asOf = askedAt) => {
-        contact.keep(askedAt, asOf);
+        contact.recordSuccess(askedAt, asOf);
         // An answer that took long counts from its call; the next one, at once, tells whether more has changed since.
         waitMs = contact.getAgeMs() > POLL_WAIT_MS + POLL_SLACK_MS ? 0 : fullWaitMs;
-        options.onContact?.();
+        options.onReadSucceeded?.();
     };
     const lose = async (message: string) => {
         // The next answer comes at once, so that what is known is not taken for old for longer than need be.
         waitMs = 0;
         lostAt = time.now();
-        contact.lose(message);
-        options.onLoss?.(message);
+        contact.recordFailure(message);
+        options.onReadFailed?.(message);
         await time.sleep(RETRY_PAUSE_MS, signal);
     };
     /** Both return the version up to which the table is known then; `undefined`: it has to be read whole. */
     const readWhole = async (): Promise<number | undefined> => {
         const askedAt = clock.readMoment(time);
         const range = { table, part: options.part };
-        const all = await readAll.readAll(store, range, READ_SILENCE_MS, rows.MOST_ANSWER_MS);
+        const all = await readAll.readAll(store, range, READ_SILENCE_MS, rows.MAX_ANSWER_MS);
         if (signal.aborted) {
             return undefined;
         }
@@ -107,13 +107,13 @@
     const poll = async (after: number): Promise<number | undefined> => {
         const askedAt = clock.readMoment(time);
         const heldMs = waitMs;
-        const changes = await store.feed(table, after, heldMs, heldMs + POLL_SLACK_MS, rows.MOST_ANSWER_MS);
+        const changes = await store.feed(table, after, heldMs, heldMs + POLL_SLACK_MS, rows.MAX_ANSWER_MS);
         if (signal.aborted) {
             return undefined;
         }
         switch (changes.kind) {
             case "changes":
-                isBehind = changes.rows.length >= rows.PAGE_ROWS;
+                isBehind = changes.rows.length >= rows.MAX_PAGE_ROWS;
                 if (changes.rows.length > 0) {
                     if (!isBehind) {
                         keep(askedAt);
--- a/src/rows/index.ts
+++ b/src/rows/index.ts
@@ -73,21 +73,21 @@
 export interface RowStore {
     transact(tx: RowTransaction, timeoutMs: number): Promise<TransactResult>;
     /** One page of a range, as of a single moment. */
-    read(range: RowRange, timeoutMs: number, mostMs?: number): Promise<ReadResult>;
+    read(range: RowRange, timeoutMs: number, totalTimeoutMs?: number): Promise<ReadResult>;
     /** Waits up to `waitMs` for changes of a table after a version, and tells a page of them. */
-    feed(table: string, after: number, waitMs: number, timeoutMs: number, mostMs?: number): Promise<FeedResult>;
+    feed(table: string, after: number, waitMs: number, timeoutMs: number, totalTimeoutMs?: number): Promise<FeedResult>;
 }
 
 /**
  * For reads that nobody waits for with a deadline: an answer that keeps coming for this long is given up. On the
  * weakest links, 7 Mbit/s, 26 MB come in that time, which is more than an instance's memory has room for.
  */
-export const MOST_ANSWER_MS = 30_000;
+export const MAX_ANSWER_MS = 30_000;
 
 /** An answer of the store holds at most so many rows; of more changes the first ones, up to the version that it names. */
-export const PAGE_ROWS = 500;
+export const MAX_PAGE_ROWS = 500;
 
-export { createCountedStore } from "./countedStore";
 export { followTable, type TableFollower, type TableFollowerOptions } from "./followTable";
+export { createInstrumentedStore } from "./instrumentedStore";
 export { readAll, readParts } from "./readAll";
 export { createStoreHealth, type StoreHealth, type StoreHealthOptions } from "./storeHealth";
--- a/src/rows/countedStore.ts
+++ b/src/rows/instrumentedStore.ts
@@ -2,7 +2,7 @@
 import type * as observe from "../observe/index";
 import type * as rows from "./index";
 
-export function createCountedStore(store: rows.RowStore, meter: observe.Meter): rows.RowStore {
+export function createInstrumentedStore(store: rows.RowStore, meter: observe.Meter): rows.RowStore {
     const count = async <T extends { readonly kind: string; }>(call: string, answer: Promise<T>): Promise<T> => {
         const result = await answer;
         meter.increment("store_calls_total", { call, outcome: result.kind });
--- a/src/rows/readAll.ts
+++ b/src/rows/readAll.ts
@@ -8,13 +8,13 @@
     store: rows.RowStore,
     range: rows.RowRange,
     timeoutMs: number,
-    mostMs?: number,
+    totalTimeoutMs?: number,
 ): Promise<rows.ReadResult> {
     const all: rows.Row[] = [];
     let version: number | undefined;
     let from = range.from;
     for (;;) {
-        const page = await store.read({ ...range, from }, timeoutMs, mostMs);
+        const page = await store.read({ ...range, from }, timeoutMs, totalTimeoutMs);
         if (page.kind !== "read") {
             return page;
         }
@@ -38,9 +38,9 @@
     table: string,
     parts: readonly string[],
     timeoutMs: number,
-    mostMs?: number,
+    totalTimeoutMs?: number,
 ): Promise<rows.ReadResult> {
-    const read = await Promise.all(parts.map(part => readAll(store, { table, part }, timeoutMs, mostMs)));
+    const read = await Promise.all(parts.map(part => readAll(store, { table, part }, timeoutMs, totalTimeoutMs)));
     const all: rows.Row[] = [];
     let version = Infinity;
     for (const result of read) {
--- a/src/rows/storeHealth.ts
+++ b/src/rows/storeHealth.ts
@@ -27,8 +27,8 @@
     readonly signal: AbortSignal;
     /** What a probe reads: a small table. */
     readonly probe: rows.RowRange;
-    onAway(why: string): void;
-    onBack(awayMs: number): void;
+    onUnreachable(why: string): void;
+    onReachable(awayMs: number): void;
 }
 
 /** A single refusal is the store's limit on calls, not its absence. */
@@ -54,7 +54,7 @@
         if (awaySince !== undefined) {
             const awayMs = time.now() - awaySince;
             awaySince = undefined;
-            options.onBack(awayMs);
+            options.onReachable(awayMs);
             giveUpSilentWrites();
         }
     };
@@ -68,7 +68,7 @@
             return;
         }
         awaySince = time.now();
-        options.onAway(why);
+        options.onUnreachable(why);
         void probe();
     };
     let lastSuccessAt = -Infinity;
--- a/src/rows/tableContact.ts
+++ b/src/rows/tableFreshness.ts
@@ -7,7 +7,7 @@
 import * as clock from "../clock/index";
 import type * as observe from "../observe/index";
 
-export interface TableContactOptions {
+export interface TableFreshnessOptions {
     readonly clock: clock.Clock;
     readonly log: observe.Log;
     readonly meter: observe.Meter;
@@ -15,16 +15,16 @@
     readonly signal: AbortSignal;
 }
 
-export interface TableContact {
+export interface TableFreshness {
     /** An answer to what was asked at `askedAt` has come whole; it holds whatever was written before `asOf`. */
-    keep(askedAt: clock.Moment, asOf: clock.Moment): void;
+    recordSuccess(askedAt: clock.Moment, asOf: clock.Moment): void;
     /** An answer has not come, or not whole. */
-    lose(why: string): void;
+    recordFailure(why: string): void;
     /** Milliseconds since the moment as of which the table is known for certain; `Infinity` before the first answer. */
     getAgeMs(): number;
 }
 
-export function createTableContact(options: TableContactOptions): TableContact {
+export function createTableFreshness(options: TableFreshnessOptions): TableFreshness {
     const { clock: time, log, meter, table } = options;
     let currentAt: clock.Moment | undefined;
     let lostAt: number | undefined;
@@ -35,7 +35,7 @@
     );
     options.signal.addEventListener("abort", endGauge, { once: true });
     return {
-        keep: (askedAt, asOf) => {
+        recordSuccess: (askedAt, asOf) => {
             currentAt = asOf;
             meter.increment("table_reads_total", { table, outcome: "whole" });
             meter.record("table_read_duration_ms", { table }, time.now() - askedAt.monotonic);
@@ -45,7 +45,7 @@
                 failures = 0;
             }
         },
-        lose: why => {
+        recordFailure: why => {
             failures++;
             meter.increment("table_reads_total", { table, outcome: "failed" });
             if (lostAt === undefined) {
--- a/src/scheduler/__tests__/advice.test.ts
+++ b/src/scheduler/__tests__/advice.test.ts
@@ -55,9 +55,9 @@
                     }
                     : { kind: "unavailable", message: `no such step: ${name}` },
         };
-        const site = await fixtures.openWithJobs({ workers, catalog: CATALOG, adviser }, [job]);
+        const site = await fixtures.openSiteWithJobs({ workers, catalog: CATALOG, adviser }, [job]);
         await site.clock.advance(endsWithinMs);
-        const state = await fixtures.settle(site.clock, site.getState(job.jobId, 1));
+        const state = await fixtures.advanceUntilSettled(site.clock, site.getState(job.jobId, 1));
         expect(state).toEqual({ kind: "state", state: "completed" });
         expect(fixtures.getStarts(site, job).filter(start => !isGood(start.workerId))).toEqual([]);
         site.close();
--- a/src/scheduler/__tests__/cancelled.test.ts
+++ b/src/scheduler/__tests__/cancelledStarts.test.ts
@@ -41,11 +41,13 @@
     test.each(cases)("%s is stopped in time", async (_name, removesStarter, cutForMs) => {
         const { struck, faults } = createFaults(cutForMs);
         const job = fixtures.createJob(1, { estimateMs: LONG_MS });
-        const site = await fixtures.openWithJobs({ workers: 3, workerFaults: faults }, [job]);
+        const site = await fixtures.openSiteWithJobs({ workers: 3, workerFaults: faults }, [job]);
         await site.clock.advance(200);
         const starter = site.getLeader()!;
         expect(struck.workerId).toBeDefined();
-        expect((await fixtures.settle(site.clock, site.cancel(job.jobId, 1 - starter))).kind).toBe("cancelled");
+        expect((await fixtures.advanceUntilSettled(site.clock, site.cancel(job.jobId, 1 - starter))).kind).toBe(
+            "cancelled",
+        );
         if (removesStarter) {
             site.silence(starter);
         }
--- a/src/scheduler/__tests__/capacity.test.ts
+++ b/src/scheduler/__tests__/capacity.test.ts
@@ -42,7 +42,7 @@
         const startAt = { ms: 0 };
         const site = fixtures.openSite({
             workers: 1,
-            isDirectoryAway: time => {
+            isDirectoryUnreachable: time => {
                 const at = time.now() - startAt.ms;
                 return startAt.ms > 0 && at >= fromMs && at < toMs;
             },
@@ -59,9 +59,9 @@
         }
         await advanceTo(testCase.jobAtMs);
         const job = fixtures.createJob(1, { needs: WHOLE });
-        await fixtures.settle(site.clock, site.submit(job, 1));
+        await fixtures.advanceUntilSettled(site.clock, site.submit(job, 1));
         await site.clock.advance(6_000);
-        const state = await fixtures.settle(site.clock, site.getState(job.jobId, 1));
+        const state = await fixtures.advanceUntilSettled(site.clock, site.getState(job.jobId, 1));
         site.close();
         expect(emulator.listBreaches(site.workers)).toEqual([]);
         expect(state).toEqual({ kind: "state", state: testCase.state });
@@ -75,7 +75,7 @@
     const running = fixtures.createJob(1, { needs: { ...WHOLE, accelerators: 4 }, estimateMs: 30_000 }, {
         queue: "batch",
     });
-    await fixtures.settle(site.clock, site.submit(running, 1));
+    await fixtures.advanceUntilSettled(site.clock, site.submit(running, 1));
     await site.clock.advance(500);
     site.workers.resize("worker-0", { ...SMALL, accelerators: 5 });
     await site.clock.advance(6_000);
@@ -83,10 +83,12 @@
         fixtures.createJob(number, { needs: { ...WHOLE, accelerators: 3 } }, { queue: "urgent" })
     );
     for (const job of urgent) {
-        await fixtures.settle(site.clock, site.submit(job, 1));
+        await fixtures.advanceUntilSettled(site.clock, site.submit(job, 1));
     }
     await site.clock.advance(12_000);
-    const states = await Promise.all(urgent.map(job => fixtures.settle(site.clock, site.getState(job.jobId, 1))));
+    const states = await Promise.all(
+        urgent.map(job => fixtures.advanceUntilSettled(site.clock, site.getState(job.jobId, 1))),
+    );
     site.close();
     expect(emulator.listBreaches(site.workers)).toEqual([]);
     expect(states).toEqual(urgent.map(() => ({ kind: "state", state: "completed" })));
--- a/src/scheduler/__tests__/crashEvidence.test.ts
+++ b/src/scheduler/__tests__/crashAttribution.test.ts
@@ -121,7 +121,7 @@
             }),
         });
         await site.clock.advance(1_000);
-        await fixtures.settle(site.clock, site.submit(job, 1));
+        await fixtures.advanceUntilSettled(site.clock, site.submit(job, 1));
         let begun = 0;
         for (const endAt = site.clock.now() + runMs; site.clock.now() < endAt;) {
             await site.clock.advance(STEP_MS);
@@ -129,7 +129,7 @@
                 onStart?.({ site, cut }, ++begun, start.workerId);
             }
         }
-        const reply = await fixtures.settle(site.clock, site.getState(job.jobId, site.getLeader() ?? 1));
+        const reply = await fixtures.advanceUntilSettled(site.clock, site.getState(job.jobId, site.getLeader() ?? 1));
         site.close();
         expect(site.workers.breaches).toEqual([]);
         expect(reply).toMatchObject({ state });
@@ -139,7 +139,7 @@
 // Guards against a withdrawn start that counts as a lost run, since its leader was lost before that was stored.
 test("of a task that was lost with its worker nothing is stored until its next worker has answered", async () => {
     const job = fixtures.createJob(1, { estimateMs: 6_000 });
-    const site = await fixtures.openWithJobs({ workers: 4, workerRestartMs: 60_000 }, [job]);
+    const site = await fixtures.openSiteWithJobs({ workers: 4, workerRestartMs: 60_000 }, [job]);
     await site.clock.advance(2_000);
     const [first] = fixtures.getStarts(site, job);
     site.crashWorker(first!.workerId);
--- a/src/scheduler/__tests__/crashes.test.ts
+++ b/src/scheduler/__tests__/crashes.test.ts
@@ -146,7 +146,7 @@
 // A task that crashes each worker that starts it was started again without end.
 describe("a task that takes its worker down", () => {
     test.each(cases)("$name", async ({ job, others = [], events = [], runMs = 40_000, ...testCase }) => {
-        const site = await fixtures.openWithJobs({ workers: 4, ...testCase }, [job, ...others]);
+        const site = await fixtures.openSiteWithJobs({ workers: 4, ...testCase }, [job, ...others]);
         const startedAt = site.clock.now();
         for (const [atMs, act] of events) {
             await site.clock.advance(Math.max(0, startedAt + atMs - site.clock.now()));
@@ -155,7 +155,7 @@
         await site.clock.advance(startedAt + runMs - site.clock.now());
         const states: unknown[] = [];
         for (const { jobId } of [job, ...others]) {
-            const reply = await fixtures.settle(site.clock, site.getState(jobId, site.getLeader() ?? 1));
+            const reply = await fixtures.advanceUntilSettled(site.clock, site.getState(jobId, site.getLeader() ?? 1));
             states.push(reply.kind === "state" ? reply.state : reply.kind);
         }
         site.close();
@@ -169,13 +169,13 @@
     const sound = fixtures.createJob(1, { count: 7, estimateMs: 6_000 });
     // Longer than its workers are away, so that each crash is certain.
     const poison = fixtures.createJob(2, { estimateMs: 9_000 }, crashing(AT_ONCE_MS));
-    const site = await fixtures.openWithJobs({ workers: 4 }, [sound]);
+    const site = await fixtures.openSiteWithJobs({ workers: 4 }, [sound]);
     await site.clock.advance(2_000);
-    await fixtures.settle(site.clock, site.submit(poison, 1));
+    await fixtures.advanceUntilSettled(site.clock, site.submit(poison, 1));
     // Arrives as the second run of the task that crashes its workers has begun.
     await site.clock.advance(3_200);
     const later = fixtures.createJob(3, { count: 3 });
-    await fixtures.settle(site.clock, site.submit(later, 1));
+    await fixtures.advanceUntilSettled(site.clock, site.submit(later, 1));
     await site.clock.advance(15_000);
     site.close();
     expect(site.workers.breaches).toEqual([]);
@@ -189,7 +189,7 @@
     const sent: Array<{ worker: string; call: string; isDown: boolean; }> = [];
     const down = new Set<string>();
     const job = fixtures.createJob(1, { estimateMs: 6_000 });
-    const site: fixtures.TestSite = await fixtures.openWithJobs({
+    const site: fixtures.TestSite = await fixtures.openSiteWithJobs({
         workers: 4,
         workerFaults: () => ({
             decide: (worker, call) => {
--- a/src/scheduler/__tests__/lapsedEnds.test.ts
+++ b/src/scheduler/__tests__/endsAfterLeaseExpiry.test.ts
@@ -11,7 +11,7 @@
     ])("$name", async ({ cutForMs }) => {
         const short = fixtures.createJob(1, { estimateMs: 2_500 });
         const long = fixtures.createJob(2, { estimateMs: 20_000 });
-        const site = await fixtures.openWithJobs({
+        const site = await fixtures.openSiteWithJobs({
             workers: 1,
             workerFaults: time => ({
                 decide: id =>
@@ -22,7 +22,7 @@
         }, [short, long]);
         await site.clock.advance(40_000);
         expect(fixtures.getStarts(site, short)).toHaveLength(1);
-        expect(await fixtures.settle(site.clock, site.getState(short.jobId, 1)))
+        expect(await fixtures.advanceUntilSettled(site.clock, site.getState(short.jobId, 1)))
             .toEqual({ kind: "state", state: "completed" });
         expect(site.workers.breaches).toEqual([]);
         site.close();
@@ -50,7 +50,7 @@
             }),
         });
         await site.clock.advance(1_000);
-        await fixtures.settle(site.clock, site.submit(job, 1));
+        await fixtures.advanceUntilSettled(site.clock, site.submit(job, 1));
         await site.clock.advance(20);
         fixtures.getStarts(site, job).forEach(start => first.add(start.workerId));
         await site.clock.advance(13_000);
@@ -60,7 +60,7 @@
         expect(next).toHaveLength(1);
         expect(site.workers.getRunningTasks().filter(task => task.endsWith(".0.0"))).toEqual([]);
         await site.clock.advance(30_000);
-        expect(await fixtures.settle(site.clock, site.getState(job.jobId, 1)))
+        expect(await fixtures.advanceUntilSettled(site.clock, site.getState(job.jobId, 1)))
             .toEqual({ kind: "state", state: "completed" });
         expect(site.workers.breaches).toEqual([]);
         expect(fixtures.getStarts(site, job)).toHaveLength(2 * step.count + 1);
--- a/src/scheduler/__tests__/failingWorkers.test.ts
+++ b/src/scheduler/__tests__/failingWorkers.test.ts
@@ -10,7 +10,7 @@
     test("set their worker aside at the first one", async () => {
         const filling = fixtures.createJob(1, { count: 3, needs: WHOLE_WORKER, estimateMs: 3_000 });
         const urgent = [2, 3, 4].map(number => fixtures.createJob(number, { needs: WHOLE_WORKER }));
-        const site = await fixtures.openWithJobs({
+        const site = await fixtures.openSiteWithJobs({
             workerFaults: () => ({
                 decide: () => "none",
                 lateMs: 0,
@@ -19,14 +19,14 @@
             }),
         }, [filling]);
         for (const job of urgent) {
-            await fixtures.settle(site.clock, site.submit(job, 1));
+            await fixtures.advanceUntilSettled(site.clock, site.submit(job, 1));
             await site.clock.advance(300);
         }
         await site.clock.advance(2_000);
         expect(site.workers.starts.filter(start => start.workerId === FAILING)).toHaveLength(1);
         await site.clock.advance(12_000);
         for (const job of urgent) {
-            const state = await fixtures.settle(site.clock, site.getState(job.jobId, 1));
+            const state = await fixtures.advanceUntilSettled(site.clock, site.getState(job.jobId, 1));
             expect(state).toEqual({ kind: "state", state: "completed" });
         }
         site.close();
@@ -40,10 +40,10 @@
             { count: 8, estimateMs: 4_000, needs: { cpuMillis: 1_000, memoryMb: 1_000, accelerators: 4 } },
             { durationsMs: [50], fails: () => true },
         );
-        const site = await fixtures.openWithJobs({}, [poisoned]);
+        const site = await fixtures.openSiteWithJobs({}, [poisoned]);
         await site.clock.advance(600);
         const sound = fixtures.createJob(2, { count: 2, needs: WHOLE_WORKER, estimateMs: 1_000 });
-        await fixtures.settle(site.clock, site.submit(sound, 1));
+        await fixtures.advanceUntilSettled(site.clock, site.submit(sound, 1));
         await site.clock.advance(500);
         expect(fixtures.getStarts(site, sound)).toHaveLength(2);
         site.close();
@@ -58,9 +58,9 @@
     ];
     test.each(cases)("%s", async (_name, step) => {
         const job = fixtures.createJob(1, step, { queue: "batch", fails: () => true });
-        const site = await fixtures.openWithJobs({ workers: 2 }, [job]);
+        const site = await fixtures.openSiteWithJobs({ workers: 2 }, [job]);
         await site.clock.advance(40_000);
-        const state = await fixtures.settle(site.clock, site.getState(job.jobId, 1));
+        const state = await fixtures.advanceUntilSettled(site.clock, site.getState(job.jobId, 1));
         site.close();
         expect(state).toEqual({ kind: "state", state: "failed" });
         expect(site.workers.breaches).toEqual([]);
--- a/src/scheduler/__tests__/failover.test.ts
+++ b/src/scheduler/__tests__/failover.test.ts
@@ -9,7 +9,7 @@
     const lostAt = site.clock.now();
     end(site);
     const job = fixtures.createJob(1);
-    await fixtures.settle(site.clock, site.submit(job, (leader + 1) % 3));
+    await fixtures.advanceUntilSettled(site.clock, site.submit(job, (leader + 1) % 3));
     await site.clock.advance(8_000);
     site.close();
     return fixtures.getStarts(site, job)[0]!.at - lostAt;
@@ -59,7 +59,7 @@
         await site.clock.advance(LOST_AT_MS);
         expect(site.getLeader()).toBe(0);
         const job = fixtures.createJob(1);
-        await fixtures.settle(site.clock, site.submit(job, 2));
+        await fixtures.advanceUntilSettled(site.clock, site.submit(job, 2));
         await site.clock.advance(5_000);
         site.close();
         expect(fixtures.getStarts(site, job)[0]!.at - LOST_AT_MS).toBeLessThan(mostMs);
@@ -79,7 +79,7 @@
         });
         await site.clock.advance(1_000);
         const job = fixtures.createJob(1, { estimateMs: 12_000 });
-        await fixtures.settle(site.clock, site.submit(job, 2));
+        await fixtures.advanceUntilSettled(site.clock, site.submit(job, 2));
         await site.clock.advance(20_000);
         site.close();
         expect(fixtures.getStarts(site, job)).toHaveLength(1);
@@ -150,7 +150,7 @@
                 site.silence(first);
                 await site.clock.advance(3_000);
                 const successor = site.getLeader()!;
-                await fixtures.settle(site.clock, site.stop(successor));
+                await fixtures.advanceUntilSettled(site.clock, site.stop(successor));
                 site.restart(first);
             },
             leastMs: PROLONGED_MS + LEASE_MS,
@@ -161,7 +161,7 @@
         const site = fixtures.openSite({ instances: 2 });
         await site.clock.advance(1_500);
         const job = fixtures.createJob(1, { estimateMs: 20_000 });
-        await fixtures.settle(site.clock, site.submit(job, 0));
+        await fixtures.advanceUntilSettled(site.clock, site.submit(job, 0));
         await site.clock.advance(2_000);
         const [first] = fixtures.getStarts(site, job);
         const lostAt = site.clock.now();
--- a/src/scheduler/__tests__/failures.test.ts
+++ b/src/scheduler/__tests__/failures.test.ts
@@ -217,9 +217,9 @@
 
 /** As callers do: where the outcome is open they ask again with the same id. */
 async function handIn(site: fixtures.TestSite, job: emulator.EmulatedJob): Promise<void> {
-    let reply = await fixtures.settle(site.clock, site.submit(job, 1));
+    let reply = await fixtures.advanceUntilSettled(site.clock, site.submit(job, 1));
     for (let again = 0; again < MOST_REPEATS && reply.kind === "undecided"; again++) {
-        reply = await fixtures.settle(site.clock, site.submit(job, 1));
+        reply = await fixtures.advanceUntilSettled(site.clock, site.submit(job, 1));
     }
     expect(reply.kind).toBe("accepted");
 }
@@ -243,7 +243,7 @@
         const states: string[] = [];
         for (const job of testCase.jobs) {
             const alive = site.getLeader() ?? 1;
-            const reply = await fixtures.settle(site.clock, site.getState(job.jobId, alive));
+            const reply = await fixtures.advanceUntilSettled(site.clock, site.getState(job.jobId, alive));
             states.push(reply.kind === "state" ? reply.state : reply.kind);
         }
         site.close();
--- a/src/scheduler/__tests__/fixtures.ts
+++ b/src/scheduler/__tests__/fixtures.ts
@@ -83,7 +83,7 @@
     readonly catalog?: catalogs.Catalog;
     readonly retentionMs?: number;
     readonly workerRestartMs?: number;
-    readonly isDirectoryAway?: (time: clocks.Clock) => boolean;
+    readonly isDirectoryUnreachable?: (time: clocks.Clock) => boolean;
     readonly policy?: decisions.Policy;
     readonly adviser?: leader.Adviser;
     /** Machines `m0`, `m1` … lie beneath the workers of these numbers. */
@@ -109,7 +109,7 @@
         catalog: options.catalog ?? CATALOG,
         retentionMs: options.retentionMs,
         workerRestartMs: options.workerRestartMs,
-        isDirectoryAway: () => options.isDirectoryAway?.(time) ?? false,
+        isDirectoryAway: () => options.isDirectoryUnreachable?.(time) ?? false,
         policy: options.policy,
         adviser: options.adviser,
         machines: machines?.service,
@@ -123,14 +123,14 @@
 }
 
 /** Opens a site, lets a leader be found, and hands the jobs in. */
-export async function openWithJobs(
+export async function openSiteWithJobs(
     options: Parameters<typeof openSite>[0],
     jobs: readonly emulator.EmulatedJob[],
 ): Promise<TestSite> {
     const site = openSite(options);
     await site.clock.advance(1_000);
     for (const job of jobs) {
-        await settle(site.clock, site.submit(job, 1));
+        await advanceUntilSettled(site.clock, site.submit(job, 1));
     }
     return site;
 }
@@ -141,7 +141,7 @@
 }
 
 /** Advances the clock until the promise settles, at most `ms`. */
-export async function settle<T>(time: clocks.ManualClock, promise: Promise<T>, ms = 5_000): Promise<T> {
+export async function advanceUntilSettled<T>(time: clocks.ManualClock, promise: Promise<T>, ms = 5_000): Promise<T> {
     let settled = false;
     void promise.then(() => {
         settled = true;
--- a/src/scheduler/__tests__/metrics.test.ts
+++ b/src/scheduler/__tests__/metrics.test.ts
@@ -16,7 +16,7 @@
     const failing = fixtures.createJob(1, { estimateMs: 500 }, { fails: () => true });
     const serving = { ...fixtures.createStep({ lasting: true, targetMs: 100 }), image: "serves" };
     const filling = fixtures.createStep({ fills: true, estimateMs: 60_000 });
-    const site = await fixtures.openWithJobs({ workers: 2 }, [
+    const site = await fixtures.openSiteWithJobs({ workers: 2 }, [
         failing,
         fixtures.createJob(2, {}, {
             spec: { payload: "", steps: [serving, serving], repeats: 0, firstDueAt: 0, periodMs: 0 },
@@ -32,7 +32,7 @@
     site.workers.add({ ...fixtures.createWorkerInfo(9), service: "nobody's" });
     await site.clock.advance(4_000);
     const urgent = fixtures.createJob(6, { estimateMs: 1_000, needs: WHOLE_MEMORY }, { queue: "urgent" });
-    await fixtures.settle(site.clock, site.submit(urgent, 1));
+    await fixtures.advanceUntilSettled(site.clock, site.submit(urgent, 1));
     await site.clock.advance(4_000);
     site.kill(site.getLeader()!);
     await site.clock.advance(10_000);
@@ -53,7 +53,7 @@
         log,
         meter: site.metrics.meter,
         getConfigurationVersion: () => 1,
-        isStoreAway: () => true,
+        isStoreUnreachable: () => true,
         ownAddress: "",
         getPeers: () => ["peer"],
         send: async () => ({ kind: "unreachable", message: "" }),
--- a/src/scheduler/__tests__/preemption.test.ts
+++ b/src/scheduler/__tests__/preemption.test.ts
@@ -8,14 +8,14 @@
     test("is not stopped again while other work can give way", async () => {
         // Symptom: a large job never ends under a steady load of urgent work. Sequence: it is stopped for an urgent
         // job, runs again, and the next urgent job comes. Cause: work that has just begun is the cheapest to stop.
-        const site = await fixtures.openWithJobs({ workers: 2 }, [fixtures.createJob(1, LONG, { queue: "batch" })]);
+        const site = await fixtures.openSiteWithJobs({ workers: 2 }, [fixtures.createJob(1, LONG, { queue: "batch" })]);
         await site.clock.advance(500);
         const second = fixtures.createJob(2, LONG, { queue: "batch" });
-        await fixtures.settle(site.clock, site.submit(second, 1));
+        await fixtures.advanceUntilSettled(site.clock, site.submit(second, 1));
         for (const number of [3, 4]) {
             await site.clock.advance(3_000);
             const urgent = fixtures.createJob(number, { estimateMs: 1_000, needs: WHOLE_MEMORY }, { queue: "urgent" });
-            await fixtures.settle(site.clock, site.submit(urgent, 1));
+            await fixtures.advanceUntilSettled(site.clock, site.submit(urgent, 1));
         }
         await site.clock.advance(10_000);
         const stopped = site.lines.filter(line => line["event"] === "preempting").map(line => line["group"]);
--- a/src/scheduler/__tests__/progress.test.ts
+++ b/src/scheduler/__tests__/progress.test.ts
@@ -86,7 +86,7 @@
         }, { queue: "urgent", durationsMs: [durationMs] });
         let firstWorker = "";
         let startedAt = Infinity;
-        const site = await fixtures.openWithJobs({
+        const site = await fixtures.openSiteWithJobs({
             workerFaults: time => ({
                 decide: () => "none",
                 lateMs: 0,
@@ -104,7 +104,7 @@
         await site.clock.advance(400);
         firstWorker = fixtures.getStarts(site, job)[0]!.workerId;
         await site.clock.advance(endsWithinMs - 400);
-        const state = await fixtures.settle(site.clock, site.getState(job.jobId, 1));
+        const state = await fixtures.advanceUntilSettled(site.clock, site.getState(job.jobId, 1));
         expect(state).toEqual({ kind: "state", state: "completed" });
         expect(fixtures.getStarts(site, job).length).toBeLessThanOrEqual(mostStarts);
         site.close();
--- a/src/scheduler/__tests__/restarts.test.ts
+++ b/src/scheduler/__tests__/restarts.test.ts
@@ -9,7 +9,7 @@
 
 /** A site whose workers have all started again under their ids, after ends that were recorded. */
 async function openRestartedSite(): Promise<fixtures.TestSite> {
-    const site = await fixtures.openWithJobs({ workers: WORKERS }, [EARLIER_JOB]);
+    const site = await fixtures.openSiteWithJobs({ workers: WORKERS }, [EARLIER_JOB]);
     await site.clock.advance(EARLIER_MS);
     for (let number = 0; number < WORKERS; number++) {
         site.restartWorker(fixtures.createWorkerInfo(number).id, DOWN_MS);
@@ -60,10 +60,10 @@
 
 test.each(cases)("$failure", async ({ job, state, runs }) => {
     const site = await openRestartedSite();
-    await fixtures.settle(site.clock, site.submit(job, 1));
+    await fixtures.advanceUntilSettled(site.clock, site.submit(job, 1));
     await site.clock.advance(6_000);
     expect(site.workers.breaches).toEqual([]);
-    expect(await fixtures.settle(site.clock, site.getState(job.jobId, 0))).toMatchObject({ state });
+    expect(await fixtures.advanceUntilSettled(site.clock, site.getState(job.jobId, 0))).toMatchObject({ state });
     expect(site.workers.starts.filter(start => start.task === `${job.jobId}.0.0.0`)).toHaveLength(runs);
     site.close();
 });
--- a/src/scheduler/__tests__/duties.test.ts
+++ b/src/scheduler/__tests__/scheduler.test.ts
@@ -5,7 +5,7 @@
 const HALF_WORKER = { cpuMillis: 1_000, memoryMb: 1_000, accelerators: 4 };
 
 async function stateOf(site: fixtures.TestSite, jobId: string): Promise<string> {
-    const reply = await fixtures.settle(site.clock, site.getState(jobId, 1));
+    const reply = await fixtures.advanceUntilSettled(site.clock, site.getState(jobId, 1));
     return reply.kind === "state" ? reply.state : reply.kind;
 }
 
@@ -21,7 +21,7 @@
             },
             durationsMs: [2_000, 1_000],
         });
-        const site = await fixtures.openWithJobs({}, [job]);
+        const site = await fixtures.openSiteWithJobs({}, [job]);
         await site.clock.advance(1_500);
         expect(fixtures.getStarts(site, job).map(start => start.task.split(".")[2])).toEqual(["0", "0", "0"]);
         await site.clock.advance(3_000);
@@ -33,7 +33,7 @@
         const job = fixtures.createJob(1);
         const dueAt = 1_000_000 + 3_000;
         const timed = { ...job, spec: { ...job.spec, repeats: 3, firstDueAt: dueAt, periodMs: 1_500 } };
-        const site = await fixtures.openWithJobs({}, [timed]);
+        const site = await fixtures.openSiteWithJobs({}, [timed]);
         await site.clock.advance(10_000);
         const startedAt = fixtures.getStarts(site, job).map(start => start.at + 1_000_000);
         expect(startedAt).toHaveLength(3);
@@ -47,7 +47,7 @@
 
     test("no more tasks of a step on one worker than it allows", async () => {
         const job = fixtures.createJob(1, { count: 6, maxPerWorker: 1 });
-        const site = await fixtures.openWithJobs({ workers: 4 }, [job]);
+        const site = await fixtures.openSiteWithJobs({ workers: 4 }, [job]);
         await site.clock.advance(1_000);
         const workers = fixtures.getStarts(site, job).map(start => start.workerId);
         expect(workers).toHaveLength(4);
@@ -59,9 +59,9 @@
 describe("cancellation", () => {
     test("a cancelled job's tasks are stopped at once, and none starts", async () => {
         const job = fixtures.createJob(1, { count: 4, estimateMs: 9_000 });
-        const site = await fixtures.openWithJobs({}, [job]);
+        const site = await fixtures.openSiteWithJobs({}, [job]);
         await site.clock.advance(1_000);
-        const reply = await fixtures.settle(site.clock, site.cancel(job.jobId, 0));
+        const reply = await fixtures.advanceUntilSettled(site.clock, site.cancel(job.jobId, 0));
         expect(reply.kind).toBe("cancelled");
         await site.clock.advance(1_000);
         const before = fixtures.getStarts(site, job).length;
@@ -74,11 +74,11 @@
 
     test("a job that nobody handed in is unknown, to whoever asks", async () => {
         const handedIn = fixtures.createJob(1);
-        const site = await fixtures.openWithJobs({}, [handedIn]);
+        const site = await fixtures.openSiteWithJobs({}, [handedIn]);
         site.know(fixtures.createJob(2));
         const other = fixtures.createJob(2).jobId;
         expect(await stateOf(site, other)).toBe("unknownJob");
-        expect((await fixtures.settle(site.clock, site.cancel(other, 0))).kind).toBe("unknownJob");
+        expect((await fixtures.advanceUntilSettled(site.clock, site.cancel(other, 0))).kind).toBe("unknownJob");
         site.close();
     });
 });
@@ -87,10 +87,10 @@
     test("work within a guarantee starts in time on a full service, with the least work stopped", async () => {
         const filler = fixtures.createJob(1, { count: 8, needs: HALF_WORKER, estimateMs: 30_000 }, { queue: "batch" });
         const urgent = fixtures.createJob(2, { count: 2, gang: true, needs: WHOLE_WORKER }, { queue: "urgent" });
-        const site = await fixtures.openWithJobs({ workers: 4 }, [filler]);
+        const site = await fixtures.openSiteWithJobs({ workers: 4 }, [filler]);
         await site.clock.advance(3_000);
         const handedInAt = site.clock.now();
-        await fixtures.settle(site.clock, site.submit(urgent, 0));
+        await fixtures.advanceUntilSettled(site.clock, site.submit(urgent, 0));
         await site.clock.advance(2_000);
         const starts = fixtures.getStarts(site, urgent);
         expect(starts).toHaveLength(2);
@@ -108,11 +108,11 @@
         }, { queue: "batch" });
         const plain = fixtures.createJob(2, { count: 2, needs: WHOLE_WORKER, estimateMs: 30_000 }, { queue: "batch" });
         const urgent = fixtures.createJob(3, { needs: WHOLE_WORKER }, { queue: "urgent" });
-        const site = await fixtures.openWithJobs({ workers: 4 }, [saving]);
+        const site = await fixtures.openSiteWithJobs({ workers: 4 }, [saving]);
         await site.clock.advance(5_000);
-        await fixtures.settle(site.clock, site.submit(plain, 0));
+        await fixtures.advanceUntilSettled(site.clock, site.submit(plain, 0));
         await site.clock.advance(1_500);
-        await fixtures.settle(site.clock, site.submit(urgent, 0));
+        await fixtures.advanceUntilSettled(site.clock, site.submit(urgent, 0));
         await site.clock.advance(2_000);
         const stopped = site.lines.filter(line => line["event"] === "preempting").map(line => String(line["group"]));
         expect(stopped).toHaveLength(1);
@@ -125,9 +125,9 @@
         // job, starts again in the room of the next one that ends, and is stopped for the one after that.
         const plain = fixtures.createJob(1, { count: 2, needs: WHOLE_WORKER, estimateMs: 30_000 }, { queue: "batch" });
         const urgent = fixtures.createJob(2, { needs: WHOLE_WORKER, estimateMs: 500 }, { queue: "urgent" });
-        const site = await fixtures.openWithJobs({ workers: 2 }, [plain]);
+        const site = await fixtures.openSiteWithJobs({ workers: 2 }, [plain]);
         await site.clock.advance(2_000);
-        await fixtures.settle(site.clock, site.submit(urgent, 0));
+        await fixtures.advanceUntilSettled(site.clock, site.submit(urgent, 0));
         await site.clock.advance(1_500);
         expect(await stateOf(site, urgent.jobId)).toBe("completed");
         expect(fixtures.getStarts(site, plain)).toHaveLength(2);
@@ -139,7 +139,7 @@
     test("a lasting task is started again however it ends, also on a full service", async () => {
         const filler = fixtures.createJob(1, { count: 7, needs: HALF_WORKER, estimateMs: 60_000 }, { queue: "plan" });
         const lasting = fixtures.createJob(2, { lasting: true, needs: HALF_WORKER }, { queue: "batch" });
-        const site = await fixtures.openWithJobs({ workers: 4 }, [lasting, filler]);
+        const site = await fixtures.openSiteWithJobs({ workers: 4 }, [lasting, filler]);
         await site.clock.advance(2_000);
         const home = fixtures.getStarts(site, lasting)[0]!.workerId;
         site.workers.kill(home, false);
@@ -153,7 +153,7 @@
 
     test("no task starts on a worker that drains, and what would not end there moves with its work saved", async () => {
         const job = fixtures.createJob(1, { checkpoints: true, estimateMs: 8_000 });
-        const site = await fixtures.openWithJobs({ workers: 2 }, [job]);
+        const site = await fixtures.openSiteWithJobs({ workers: 2 }, [job]);
         await site.clock.advance(2_500);
         const home = fixtures.getStarts(site, job)[0]!.workerId;
         site.workers.drain(home, 3_000);
@@ -169,7 +169,7 @@
 describe("advice", () => {
     test("tasks start only on workers that the adviser names, with their ticket", async () => {
         const asked: string[][] = [];
-        const site = await fixtures.openWithJobs({
+        const site = await fixtures.openSiteWithJobs({
             catalog: {
                 ...fixtures.CATALOG,
                 queues: fixtures.CATALOG.queues.map(queue => ({
@@ -197,7 +197,7 @@
     test("rows of a job that ended long ago are removed, those of others stay", async () => {
         const ended = fixtures.createJob(1);
         const running = fixtures.createJob(2, { lasting: true });
-        const site = await fixtures.openWithJobs({ retentionMs: 60_000 }, [ended, running]);
+        const site = await fixtures.openSiteWithJobs({ retentionMs: 60_000 }, [ended, running]);
         await site.clock.advance(50_000);
         expect(await stateOf(site, ended.jobId)).toBe("completed");
         await site.clock.advance(40_000);
@@ -209,7 +209,7 @@
 
     test("progress without a submission is removed after a takeover and runs nothing", async () => {
         const job = fixtures.createJob(1);
-        const site = await fixtures.openWithJobs({}, [job]);
+        const site = await fixtures.openSiteWithJobs({}, [job]);
         await site.clock.advance(4_000);
         // A leader was lost between removing the submission and removing its progress.
         site.store.remove({ table: "jobs", part: work.getIntakePart(job.jobId), key: job.jobId });
--- a/src/scheduler/__tests__/unanswered.test.ts
+++ b/src/scheduler/__tests__/unansweredStarts.test.ts
@@ -11,7 +11,7 @@
     test.each(cases)("%s", async (_name, leftOut, starts) => {
         let lost = false;
         const job = fixtures.createJob(1, { estimateMs: 6_000 });
-        const site = await fixtures.openWithJobs({
+        const site = await fixtures.openSiteWithJobs({
             policy: decisions.leaveOut(decisions.POLICIES.worth, leftOut),
             workerFaults: () => ({
                 decide: (_worker, call) => {
--- a/src/scheduler/__tests__/unknownService.test.ts
+++ b/src/scheduler/__tests__/unknownService.test.ts
@@ -6,7 +6,7 @@
 
 async function openWithStranger() {
     const looked: string[] = [];
-    const site = await fixtures.openWithJobs({
+    const site = await fixtures.openSiteWithJobs({
         workers: 2,
         workerFaults: () => ({
             decide: (worker, call) => {
@@ -28,7 +28,7 @@
     test("is not looked at, is told once, and the others work", async () => {
         const { site, looked } = await openWithStranger();
         const job = fixtures.createJob(1, { count: 4 });
-        await fixtures.settle(site.clock, site.submit(job, 0));
+        await fixtures.advanceUntilSettled(site.clock, site.submit(job, 0));
         await site.clock.advance(4_000);
         expect(looked).not.toContain(STRANGE.id);
         expect(site.workers.doneCounts.size).toBe(4);
@@ -50,7 +50,7 @@
     });
 
     test("keeps its session as long as something runs there", async () => {
-        const site = await fixtures.openWithJobs({ workers: 1 }, [fixtures.createJob(1, { estimateMs: 8_000 })]);
+        const site = await fixtures.openSiteWithJobs({ workers: 1 }, [fixtures.createJob(1, { estimateMs: 8_000 })]);
         await site.clock.advance(500);
         site.configure({ ...fixtures.CATALOG, version: 2, services: [] });
         await site.clock.advance(12_000);
--- a/src/scheduler/__tests__/upkeep.test.ts
+++ b/src/scheduler/__tests__/upkeep.test.ts
@@ -111,7 +111,7 @@
         });
         await site.clock.advance(100);
         const job = fixtures.createJob(1, { count: 6, estimateMs: 6_000, needs: HALF_WORKER });
-        await fixtures.settle(site.clock, site.submit(job, 1));
+        await fixtures.advanceUntilSettled(site.clock, site.submit(job, 1));
         await site.clock.advance(45_000);
         const completed = waves.filter(wave => item.completes?.includes(wave.number) ?? true);
         expect(machines!.breaches).toEqual([]);
--- a/src/scheduler/index.ts
+++ b/src/scheduler/index.ts
@@ -1,2 +1,2 @@
 /** One instance of the scheduler, put together from its duties. */
-export { createScheduler, type Scheduler, type SchedulerBounds, type SchedulerOptions } from "./scheduler";
+export { createScheduler, type Scheduler, type SchedulerOptions, type SchedulerSettings } from "./scheduler";
--- a/src/scheduler/scheduler.ts
+++ b/src/scheduler/scheduler.ts
@@ -11,7 +11,7 @@
 export interface SchedulerOptions {
     readonly instance: string;
     /** Unique to this life of the instance. */
-    readonly life: string;
+    readonly incarnation: string;
     /** Processor time that this instance gets, in cores. */
     readonly power: number;
     /** Where other instances watch this process; empty: nowhere. */
@@ -32,13 +32,13 @@
     readonly log: observe.Log;
     readonly meter: observe.Meter;
     /** Asked at the beginning of each term, and for each submission. */
-    getBounds(): SchedulerBounds;
+    getSettings(): SchedulerSettings;
     /** Milliseconds since the moment as of which the configuration is known for certain; `Infinity`: not read yet. */
     getConfigurationAgeMs(): number;
     readonly signal: AbortSignal;
 }
 
-export interface SchedulerBounds {
+export interface SchedulerSettings {
     /** Longest lease that a worker grants to what runs there. */
     readonly maxLeaseMs: number;
     /** How long a machine is down for its upkeep. */
@@ -61,7 +61,7 @@
     /** Whether this instance can serve callers now. */
     isReady(): boolean;
     isLeading(): boolean;
-    isStoreAway(): boolean;
+    isStoreUnreachable(): boolean;
     /** Whether callers may be served under the configuration in force here. */
     isConfigurationFresh(): boolean;
     /** Where the leader takes requests that are passed on; `undefined` where it is this instance or not known. */
@@ -77,15 +77,15 @@
     const { leftOut } = options.policy;
     const current = catalogs.createCurrentCatalog();
     const health = rows.createStoreHealth({
-        store: rows.createCountedStore(options.store, meter),
+        store: rows.createInstrumentedStore(options.store, meter),
         clock: time,
         signal: options.signal,
         probe: { table: work.Table.Lead, part: work.LEADER_PART },
-        onAway: why => {
+        onUnreachable: why => {
             log.warn("storeLost", { why });
             offerTerm();
         },
-        onBack: awayMs => log.info("storeRegained", { awayMs: Math.round(awayMs) }),
+        onReachable: awayMs => log.info("storeRegained", { awayMs: Math.round(awayMs) }),
     });
     const { store } = health;
 
@@ -93,7 +93,7 @@
     const openTerm = (leadership: leader.Leadership) => {
         const started = leader.createTerm({
             ...options,
-            ...options.getBounds(),
+            ...options.getSettings(),
             store,
             catalog: current,
             leadership: leftOut.has("prolonging") ? { ...leadership, mayProlong: leadership.mayOrder } : leadership,
@@ -112,7 +112,7 @@
         log,
         meter,
         instance: options.instance,
-        life: options.life,
+        life: options.incarnation,
         watchAddress: options.watchAddress,
         peerAddress: options.peerAddress,
         watchHolder: (address, onGone) => {
@@ -138,8 +138,8 @@
         clock: time,
         log,
         meter,
-        getRowBytes: () => options.getBounds().rowBytes,
-        getWaiting: () => {
+        getMaxRowBytes: () => options.getSettings().rowBytes,
+        getPublishedCounts: () => {
             const observed = lease.getObservation();
             const counts = observed?.record.waiting;
             return observed && counts && {
@@ -153,7 +153,7 @@
         log,
         getVersion: () => current.get()?.version,
         getAgeMs: options.getConfigurationAgeMs,
-        getMostMs: () => options.getBounds().configurationMs,
+        getMaxAgeMs: () => options.getSettings().configurationMs,
     });
     const isReady = () => current.get() !== undefined && isFresh() && !isStoreAway();
     meter.registerGauges(() => [
@@ -170,7 +170,7 @@
         handover,
         isReady,
         isLeading: lease.isLeading,
-        isStoreAway,
+        isStoreUnreachable: isStoreAway,
         isConfigurationFresh: isFresh,
         getLeaderAddress: () => {
             const address = lease.getObservation()?.record.peerAddress;
