--- a/soak/callers.ts
+++ b/soak/callers.ts
@@ -46,7 +46,7 @@
 
 export function createCallers(options: CallersOptions): Callers {
     const { clock: time, source, balancer, key } = options;
-    const client = standin.createCallerClient({ patienceMs: PATIENCE_MS, connections: CONNECTIONS });
+    const client = standin.createCallerClient({ timeoutMs: PATIENCE_MS, maxConnections: CONNECTIONS });
     const records: verdict.JobRecord[] = [];
     const breaches: string[] = [];
     const closed = new AbortController();
--- a/soak/operator.ts
+++ b/soak/operator.ts
@@ -29,7 +29,7 @@
     source: random.Random,
     otherQueues: number,
 ): Operator {
-    const client = standin.createCallerClient({ patienceMs: PATIENCE_MS, connections: 2 });
+    const client = standin.createCallerClient({ timeoutMs: PATIENCE_MS, maxConnections: 2 });
     const queues = [createQueue("urgent", 0), createQueue("plan", 1), createQueue("batch", 2)];
     const others = Array.from({ length: otherQueues }, (_, number) => createQueue(`other-${number}`, 2));
     const key = `key-${source.nextInt(1e6)}`;
@@ -53,7 +53,7 @@
     change();
     /** Whether the instance serves the queue that only this version has; `undefined` where it does not say. */
     const serves = async (instance: number, asked: number) => {
-        const reply = await client.count(
+        const reply = await client.countWaiting(
             site.instances[instance]!.callers,
             createQueue(getMark(asked), 2),
             key,
--- a/soak/site.ts
+++ b/soak/site.ts
@@ -100,7 +100,7 @@
         closers.push(link.close);
         return link;
     };
-    const openServer = async (server: standin.WireServer, address: string) => {
+    const openServer = async (server: standin.StandinServer, address: string) => {
         await server.listen(address);
         closers.push(server.close);
     };
