--- a/bench/decisions.ts
+++ b/bench/decisions.ts
@@ -25,15 +25,15 @@
         labels: [],
         capacity: CAPACITY,
         used: { cpuMillis: RUNNING * 2_000, memoryMb: RUNNING * 4_096, accelerators: RUNNING },
-        freeing: { cpuMillis: 0, memoryMb: 0, accelerators: 0 },
-        serving: 0,
-        filling: 0,
-        company: decisions.Company.None,
+        releasing: { cpuMillis: 0, memoryMb: 0, accelerators: 0 },
+        latencySensitiveTasks: 0,
+        bestEffortTasks: 0,
+        occupancy: decisions.Company.Idle,
     }));
     const groups = workers.flatMap(worker =>
         Array.from({ length: RUNNING }, (_, number): decisions.RunningGroup => ({
             key: `${worker.id}-${number}`,
-            claim: decisions.Claim.None,
+            tier: decisions.Claim.None,
             members: [{ workerId: worker.id, needs: NEEDS }],
             lossCoreSeconds: 10 * source.nextFloat(),
             costCoreSeconds: 10 * source.nextFloat(),
@@ -43,7 +43,7 @@
         const gang = number % GANG_EVERY === 0;
         return {
             key: `unit-${number}`,
-            family: `unit-${number}`,
+            equivalenceClass: `unit-${number}`,
             step: `unit-${number}`,
             service: "service",
             needs: NEEDS,
@@ -51,16 +51,16 @@
             gang,
             sameRack: gang,
             maxPerWorker: 0,
-            claim: number % URGENT_EVERY === 0 ? decisions.Claim.Urgent : decisions.Claim.None,
-            serves: false,
-            fills: false,
-            suspect: false,
-            avoided: new Set(),
+            tier: number % URGENT_EVERY === 0 ? decisions.Claim.Urgent : decisions.Claim.None,
+            latencySensitive: false,
+            bestEffort: false,
+            mayCrashWorker: false,
+            excludedWorkerIds: new Set(),
             waitedMs: 0,
-            expectedMs: 5_000,
+            expectedDurationMs: 5_000,
         };
     });
-    return { now: 0, workers, units, getGroups: () => groups };
+    return { now: 0, workers, units, getRunningGroups: () => groups };
 }
 
 function getMedian(values: readonly number[]): number {
--- a/soak/__tests__/verdict.test.ts
+++ b/soak/__tests__/verdict.test.ts
@@ -8,7 +8,7 @@
     account: "office",
     spec: {
         payload: "",
-        steps: [{ ...work.PLAIN_STEP, count: 2, needs: work.EMPTY_ROOM, estimateMs: 1_000 }],
+        steps: [{ ...work.DEFAULT_STEP, count: 2, needs: work.NO_RESOURCES, estimateMs: 1_000 }],
         repeats: 0,
         firstDueAt: 0,
         periodMs: 0,
--- a/src/clock/__tests__/moment.test.ts
+++ b/src/clock/__tests__/timestamp.test.ts
@@ -8,8 +8,8 @@
         ["counts on where the time of day was set back", 700, -1_300, 700],
     ];
     test.each(cases)("%s", (_name, monotonic, wall, elapsed) => {
-        const since = { monotonic: 5_000, wall: 1_000_000 };
-        const time = { now: () => since.monotonic + monotonic, wallTime: () => since.wall + wall };
+        const since = { monotonicMs: 5_000, wallMs: 1_000_000 };
+        const time = { now: () => since.monotonicMs + monotonic, wallTime: () => since.wallMs + wall };
         expect(clock.getElapsedMs(time, since)).toBe(elapsed);
         expect(clock.getElapsedMs(time, clock.addMs(since, 200))).toBe(elapsed - 200);
     });
--- a/src/decisions/__tests__/fixtures.ts
+++ b/src/decisions/__tests__/fixtures.ts
@@ -9,10 +9,10 @@
         labels: ["a", "r1"],
         capacity: { cpuMillis: 32_000, memoryMb: 65_536, accelerators: 8 },
         used: { cpuMillis: 0, memoryMb: 0, accelerators: 0 },
-        freeing: { cpuMillis: 0, memoryMb: 0, accelerators: 0 },
-        serving: 0,
-        filling: 0,
-        company: types.Company.None,
+        releasing: { cpuMillis: 0, memoryMb: 0, accelerators: 0 },
+        latencySensitiveTasks: 0,
+        bestEffortTasks: 0,
+        occupancy: types.Company.Idle,
         ...fields,
     };
 }
@@ -21,7 +21,7 @@
 export function createUnit(key: string, fields: Partial<types.WaitingUnit> = {}): types.WaitingUnit {
     return {
         key,
-        family: key,
+        equivalenceClass: key,
         step: key,
         service: "booking",
         needs: { cpuMillis: 1_000, memoryMb: 1_024, accelerators: 1 },
@@ -29,13 +29,13 @@
         gang: false,
         sameRack: false,
         maxPerWorker: 0,
-        claim: types.Claim.None,
-        serves: false,
-        fills: false,
-        suspect: false,
-        avoided: new Set(),
+        tier: types.Claim.None,
+        latencySensitive: false,
+        bestEffort: false,
+        mayCrashWorker: false,
+        excludedWorkerIds: new Set(),
         waitedMs: 0,
-        expectedMs: 5_000,
+        expectedDurationMs: 5_000,
         ...fields,
     };
 }
@@ -48,7 +48,7 @@
 ): types.RunningGroup {
     return {
         key,
-        claim: types.Claim.None,
+        tier: types.Claim.None,
         members: [{ workerId, needs: { cpuMillis: 1_000, memoryMb: 1_024, accelerators: 1 } }],
         lossCoreSeconds: 10,
         costCoreSeconds: fields.lossCoreSeconds ?? 10,
--- a/src/decisions/__tests__/indexedPlan.test.ts
+++ b/src/decisions/__tests__/indexedPlan.test.ts
@@ -5,7 +5,7 @@
 import * as planner from "../plan";
 import * as types from "../types";
 import * as fixtures from "./fixtures";
-import * as plainPlan from "./plainPlan";
+import * as plainPlan from "./referencePlan";
 
 const SEEDS = 400;
 const SERVICES = ["booking", "other"];
@@ -43,10 +43,10 @@
             rack: `r${source.nextInt(5)}`,
             labels: [source.pick(LABELS)],
             used,
-            freeing: source.nextInt(4) === 0 ? used : { cpuMillis: 0, memoryMb: 0, accelerators: 0 },
-            serving: source.nextInt(3),
-            filling: source.nextInt(3),
-            company: source.pick(Object.values(types.Company)),
+            releasing: source.nextInt(4) === 0 ? used : { cpuMillis: 0, memoryMb: 0, accelerators: 0 },
+            latencySensitiveTasks: source.nextInt(3),
+            bestEffortTasks: source.nextInt(3),
+            occupancy: source.pick(Object.values(types.Company)),
         });
         return worker;
     });
@@ -59,12 +59,12 @@
         const size = source.nextInt(5) === 0 ? 1 + source.nextInt(4) : 1;
         groups.push({
             key: `group-${at}`,
-            claim: source.pick([types.Claim.None, types.Claim.None, types.Claim.Urgent, types.Claim.Lasting]),
+            tier: source.pick([types.Claim.None, types.Claim.None, types.Claim.Urgent, types.Claim.Lasting]),
             members: tasks.slice(at, at + size),
             lossCoreSeconds: 0,
             costCoreSeconds: source.nextInt(4) === 0 ? 0 : 1_000 * source.nextFloat(),
-            protection: source.nextInt(5) === 0
-                ? { step: `s${source.nextInt(2)}`, mayStop: source.nextInt(3) }
+            disruptionBudget: source.nextInt(5) === 0
+                ? { step: `s${source.nextInt(2)}`, allowedDisruptions: source.nextInt(3) }
                 : undefined,
         });
         at += size;
@@ -78,7 +78,7 @@
         const gang = source.nextInt(3) === 0;
         return fixtures.createUnit(`u${number}`, {
             service: source.nextInt(6) === 0 ? SERVICES[1]! : SERVICES[0]!,
-            family: `f${source.nextInt(20)}`,
+            equivalenceClass: `f${source.nextInt(20)}`,
             step: `step-${source.nextInt(8)}`,
             needs: source.pick(NEEDS),
             gang,
@@ -87,12 +87,12 @@
             requiredLabel: source.nextInt(5) === 0 ? source.pick(LABELS) : undefined,
             dataRack: source.nextInt(4) === 0 ? `r${source.nextInt(6)}` : undefined,
             maxPerWorker: source.nextInt(4) === 0 ? 1 + source.nextInt(2) : 0,
-            claim: source.pick([types.Claim.None, types.Claim.Urgent, types.Claim.Lasting, types.Claim.Guaranteed]),
-            serves: source.nextInt(6) === 0,
-            fills: source.nextInt(6) === 0,
-            suspect: source.nextInt(8) === 0,
-            avoided: source.nextInt(5) === 0 ? pickWorkers() : new Set(),
-            allowed: source.nextInt(6) === 0 ? pickWorkers() : undefined,
+            tier: source.pick([types.Claim.None, types.Claim.Urgent, types.Claim.Lasting, types.Claim.Guaranteed]),
+            latencySensitive: source.nextInt(6) === 0,
+            bestEffort: source.nextInt(6) === 0,
+            mayCrashWorker: source.nextInt(8) === 0,
+            excludedWorkerIds: source.nextInt(5) === 0 ? pickWorkers() : new Set(),
+            allowedWorkerIds: source.nextInt(6) === 0 ? pickWorkers() : undefined,
             waitedMs: source.nextInt(8_000),
         });
     });
@@ -112,9 +112,9 @@
         const source = random.createRandom(seed);
         const { workers, tasks } = createWorkers(source);
         const groups = createGroups(tasks, source);
-        const input = { now: 0, workers, units: createUnits(workers, source), getGroups: () => groups };
+        const input = { now: 0, workers, units: createUnits(workers, source), getRunningGroups: () => groups };
         const plan = describePlan(planner.plan(input));
-        expect({ seed, ...plan }).toEqual({ seed, ...describePlan(plainPlan.planPlainly(input)) });
+        expect({ seed, ...plan }).toEqual({ seed, ...describePlan(plainPlan.planByReference(input)) });
         starts += plan.starts.length;
         stops += plan.stops.length;
     }
--- a/src/decisions/__tests__/plan.test.ts
+++ b/src/decisions/__tests__/plan.test.ts
@@ -22,7 +22,7 @@
  * place knew only how long the task takes.
  */
 function createPatienceCases(): Case[] {
-    const patient = { expectedMs: 20_000 };
+    const patient = { expectedDurationMs: 20_000 };
     const near = { ...patient, dataRack: "r1" };
     const gang = { ...patient, gang: true, sameRack: true, count: 2, needs: WHOLE_WORKER };
     const idle = [
@@ -80,7 +80,7 @@
     nearFull: readonly types.PlaceableWorker[],
     busy: readonly types.PlaceableWorker[],
 ): Case[] {
-    const data = { expectedMs: 20_000, gang: true, count: 2, dataRack: "r2" };
+    const data = { expectedDurationMs: 20_000, gang: true, count: 2, dataRack: "r2" };
     const half = { ...FULL, accelerators: 4, cpuMillis: 16_000, memoryMb: 32_768 };
     const fuller = [
         fixtures.createWorker("r1w1", { used: half }),
@@ -124,8 +124,8 @@
             // data is full of other guaranteed work. Cause: it waited for that rack as long as any other gang.
             name: `a gang within a guarantee waits 1.5 s for the rack of its data, not longer: ${waitedMs} ms`,
             workers: busy,
-            units: [fixtures.createUnit("g", { ...wide, waitedMs, claim: types.Claim.Guaranteed })],
-            groups: [fixtures.createGroup("other", "r1w1", { claim: types.Claim.Guaranteed })],
+            units: [fixtures.createUnit("g", { ...wide, waitedMs, tier: types.Claim.Guaranteed })],
+            groups: [fixtures.createGroup("other", "r1w1", { tier: types.Claim.Guaranteed })],
             starts,
         })),
         {
@@ -134,7 +134,7 @@
                 fixtures.createWorker("r1w1", { used: FULL }),
                 fixtures.createWorker("r2w1", { rack: "r2", used: FULL }),
             ],
-            units: [fixtures.createUnit("g", { ...wide, claim: types.Claim.Urgent })],
+            units: [fixtures.createUnit("g", { ...wide, tier: types.Claim.Urgent })],
             groups: ([["near", "r1w1", 100], ["far", "r2w1", 1]] as const).map(([key, workerId, lossCoreSeconds]) =>
                 fixtures.createGroup(key, workerId, { lossCoreSeconds, members: [{ workerId, needs: FULL }] })
             ),
@@ -159,7 +159,9 @@
         // pass. Cause: the pass counted only the tasks that were there before it.
         name: "the bound of a step's tasks on a worker counts what the same pass places",
         workers: [fixtures.createWorker("w1"), fixtures.createWorker("w2")],
-        units: ["a", "b", "c"].map(key => fixtures.createUnit(key, { step: "s", family: "s", maxPerWorker: 1 })),
+        units: ["a", "b", "c"].map(key =>
+            fixtures.createUnit(key, { step: "s", equivalenceClass: "s", maxPerWorker: 1 })
+        ),
         starts: { a: ["w1"], b: ["w2"] },
     },
     {
@@ -193,7 +195,7 @@
     {
         name: "urgent work stops the least work that makes room",
         workers: [fixtures.createWorker("w1", { used: FULL }), fixtures.createWorker("w2", { used: FULL })],
-        units: [fixtures.createUnit("u", { claim: types.Claim.Urgent })],
+        units: [fixtures.createUnit("u", { tier: types.Claim.Urgent })],
         groups: [
             fixtures.createGroup("costly", "w1", { lossCoreSeconds: 90 }),
             fixtures.createGroup("cheap", "w2", { lossCoreSeconds: 3 }),
@@ -206,7 +208,7 @@
         // chosen first, then a worker that holds the whole unit. Cause: what was chosen before stayed chosen.
         name: "what is not needed once all victims are chosen goes on",
         workers: [fixtures.createWorker("w1", { used: FULL }), fixtures.createWorker("w2", { used: FULL })],
-        units: [fixtures.createUnit("u", { claim: types.Claim.Urgent, gang: true, count: 8 })],
+        units: [fixtures.createUnit("u", { tier: types.Claim.Urgent, gang: true, count: 8 })],
         groups: [
             fixtures.createGroup("cheap", "w1", { lossCoreSeconds: 1 }),
             fixtures.createGroup("whole", "w2", {
@@ -221,9 +223,9 @@
         name: "room that is being freed is waited for, and nothing more is stopped",
         workers: [fixtures.createWorker("w1", {
             used: FULL,
-            freeing: { cpuMillis: 1_000, memoryMb: 1_024, accelerators: 1 },
+            releasing: { cpuMillis: 1_000, memoryMb: 1_024, accelerators: 1 },
         })],
-        units: [fixtures.createUnit("u", { claim: types.Claim.Urgent }), fixtures.createUnit("later")],
+        units: [fixtures.createUnit("u", { tier: types.Claim.Urgent }), fixtures.createUnit("later")],
         groups: [fixtures.createGroup("g", "w1")],
         starts: {},
     },
@@ -232,22 +234,22 @@
         name: "work within a guarantee is stopped for nobody, work of lower priority stops nothing",
         workers: [fixtures.createWorker("w1", { used: FULL })],
         units: [
-            fixtures.createUnit("u", { claim: types.Claim.Guaranteed }),
+            fixtures.createUnit("u", { tier: types.Claim.Guaranteed }),
             fixtures.createUnit("v"),
         ],
-        groups: [fixtures.createGroup("g", "w1", { claim: types.Claim.Guaranteed })],
+        groups: [fixtures.createGroup("g", "w1", { tier: types.Claim.Guaranteed })],
         starts: {},
     },
     {
         name: "a lasting task stops urgent work beyond a guarantee, and nothing stops a lasting one but a guarantee",
         workers: [fixtures.createWorker("w1", { used: FULL }), fixtures.createWorker("w2", { used: FULL })],
         units: [
-            fixtures.createUnit("lasting", { claim: types.Claim.Lasting }),
-            fixtures.createUnit("urgent", { claim: types.Claim.Urgent }),
+            fixtures.createUnit("lasting", { tier: types.Claim.Lasting }),
+            fixtures.createUnit("urgent", { tier: types.Claim.Urgent }),
         ],
         groups: [
-            fixtures.createGroup("u", "w1", { claim: types.Claim.Urgent }),
-            fixtures.createGroup("l", "w2", { claim: types.Claim.Lasting }),
+            fixtures.createGroup("u", "w1", { tier: types.Claim.Urgent }),
+            fixtures.createGroup("l", "w2", { tier: types.Claim.Lasting }),
         ],
         starts: {},
         stops: ["u"],
@@ -258,15 +260,15 @@
         name: "of a lasting step no more tasks are stopped than it may miss, also for two units",
         workers: ["w1", "w2", "w3"].map(id => fixtures.createWorker(id, { used: FULL })),
         units: [
-            fixtures.createUnit("gang", { claim: types.Claim.Guaranteed, gang: true, count: 2 }),
-            fixtures.createUnit("single", { claim: types.Claim.Guaranteed }),
+            fixtures.createUnit("gang", { tier: types.Claim.Guaranteed, gang: true, count: 2 }),
+            fixtures.createUnit("single", { tier: types.Claim.Guaranteed }),
         ],
         groups: [
             ...["l1", "l2"].map((key, index) =>
                 fixtures.createGroup(key, `w${index + 1}`, {
-                    claim: types.Claim.Lasting,
+                    tier: types.Claim.Lasting,
                     lossCoreSeconds: 1,
-                    protection: { step: "serves", mayStop: 1 },
+                    disruptionBudget: { step: "serves", allowedDisruptions: 1 },
                 })
             ),
             fixtures.createGroup("costly", "w3", { lossCoreSeconds: 90 }),
@@ -278,33 +280,36 @@
         name: "what serves and what fills are kept apart while there is a choice",
         workers: [
             fixtures.createWorker("filling", {
-                filling: 1,
+                bestEffortTasks: 1,
                 used: { ...FULL, accelerators: 4, cpuMillis: 0, memoryMb: 0 },
             }),
             fixtures.createWorker("empty"),
         ],
-        units: [fixtures.createUnit("s", { serves: true })],
+        units: [fixtures.createUnit("s", { latencySensitive: true })],
         starts: { s: ["empty"] },
     },
     {
         name: "a task that may take its worker down goes to a worker without tasks, and nothing joins it",
         workers: [
             fixtures.createWorker("settled", {
-                company: types.Company.Settled,
+                occupancy: types.Company.Stable,
                 used: { cpuMillis: 0, memoryMb: 0, accelerators: 6 },
             }),
             fixtures.createWorker("idle"),
         ],
-        units: [fixtures.createUnit("s", { suspect: true }), ...["a", "b", "c"].map(key => fixtures.createUnit(key))],
+        units: [
+            fixtures.createUnit("s", { mayCrashWorker: true }),
+            ...["a", "b", "c"].map(key => fixtures.createUnit(key)),
+        ],
         starts: { s: ["idle"], a: ["settled"], b: ["settled"] },
     },
     {
         name: "a task that may take its worker down joins only tasks that have settled in",
         workers: [
-            fixtures.createWorker("unsettled", { company: types.Company.Unsettled }),
-            fixtures.createWorker("settled", { company: types.Company.Settled }),
+            fixtures.createWorker("unsettled", { occupancy: types.Company.RecentStart }),
+            fixtures.createWorker("settled", { occupancy: types.Company.Stable }),
         ],
-        units: [fixtures.createUnit("s", { suspect: true }), fixtures.createUnit("t", { suspect: true })],
+        units: [fixtures.createUnit("s", { mayCrashWorker: true }), fixtures.createUnit("t", { mayCrashWorker: true })],
         starts: { s: ["settled"] },
     },
     {
@@ -328,8 +333,8 @@
         ],
         units: [fixtures.createUnit("t", {
             requiredLabel: "a",
-            avoided: new Set(["failed"]),
-            allowed: new Set(["good", "failed", "noLabel", "otherService"]),
+            excludedWorkerIds: new Set(["failed"]),
+            allowedWorkerIds: new Set(["good", "failed", "noLabel", "otherService"]),
         })],
         starts: { t: ["good"] },
     },
@@ -337,7 +342,7 @@
 
 describe("plan", () => {
     test.each(cases)("$name", ({ workers, units, groups = [], starts, stops = [] }) => {
-        const plan = planner.plan({ now: 0, workers, units, getGroups: () => groups });
+        const plan = planner.plan({ now: 0, workers, units, getRunningGroups: () => groups });
         expect(Object.fromEntries(plan.starts.map(start => [start.unit.key, start.workerIds]))).toEqual(starts);
         expect(plan.stops.map(stop => stop.group.key)).toEqual(stops);
     });
--- a/src/decisions/__tests__/plainPlace.ts
+++ b/src/decisions/__tests__/referencePlace.ts
@@ -1,9 +1,9 @@
 /** Where a unit fits, looking at every worker: the plain counterpart of `place`. */
-import * as rooms from "../room";
+import * as rooms from "../resources";
 import * as types from "../types";
 
 /** Room that a placement may use on a worker. */
-export type RoomOf = (worker: types.PlaceableWorker) => rooms.MutableRoom;
+export type RoomOf = (worker: types.PlaceableWorker) => rooms.MutableResources;
 
 /**
  * A same-rack gang that no rack can take now waits this long for one before it is spread. Spread over racks its
@@ -41,7 +41,7 @@
 /** Whether the rack of the unit's data would hold it with nothing else there. */
 export function dataRackCouldHold(unit: types.WaitingUnit, ofService: readonly types.PlaceableWorker[]): boolean {
     const most = ofService.filter(worker => worker.rack === unit.dataRack)
-        .reduce((sum, worker) => sum + countMembers(unit, worker, rooms.copyRoom(worker.capacity)), 0);
+        .reduce((sum, worker) => sum + countMembers(unit, worker, rooms.copyResources(worker.capacity)), 0);
     return most >= unit.count;
 }
 
@@ -49,15 +49,15 @@
 export function mayRun(unit: types.WaitingUnit, worker: types.PlaceableWorker): boolean {
     return worker.service === unit.service
         && (unit.requiredLabel === undefined || worker.labels.includes(unit.requiredLabel))
-        && !unit.avoided.has(worker.id)
-        && (unit.allowed === undefined || unit.allowed.has(worker.id));
+        && !unit.excludedWorkerIds.has(worker.id)
+        && (unit.allowedWorkerIds === undefined || unit.allowedWorkerIds.has(worker.id));
 }
 
 /** How many members of the unit the worker takes within that room. */
 export function countMembers(
     unit: types.WaitingUnit,
     worker: types.PlaceableWorker,
-    room: rooms.MutableRoom,
+    room: rooms.MutableResources,
 ): number {
     const fits = Math.min(unit.count, rooms.countFits(room, unit.needs));
     if (unit.maxPerWorker === 0) {
@@ -159,8 +159,8 @@
         const used = workers.reduce((sum, worker) => sum + worker.used[kind], 0);
         return 2 * used < workers.reduce((sum, worker) => sum + worker.capacity[kind], 0);
     });
-    const bound = unit.claim === types.Claim.Guaranteed ? GUARANTEED_PATIENCE_MS : Infinity;
-    return Math.min(mostlyFree ? IDLE_PATIENCE_MS : Infinity, bound, unit.expectedMs * share);
+    const bound = unit.tier === types.Claim.Guaranteed ? GUARANTEED_PATIENCE_MS : Infinity;
+    return Math.min(mostlyFree ? IDLE_PATIENCE_MS : Infinity, bound, unit.expectedDurationMs * share);
 }
 
 function maySpread(unit: types.WaitingUnit, workers: readonly types.PlaceableWorker[]): boolean {
@@ -169,7 +169,7 @@
     }
     for (const rackWorkers of groupByRack(workers).values()) {
         const most = rackWorkers.reduce(
-            (sum, worker) => sum + countMembers(unit, worker, rooms.copyRoom(worker.capacity)),
+            (sum, worker) => sum + countMembers(unit, worker, rooms.copyResources(worker.capacity)),
             0,
         );
         if (most >= unit.count) {
@@ -181,11 +181,11 @@
 
 /** Serving and filling tasks are kept apart as long as there is a choice: fillers slow down what serves. */
 function getCompany(unit: types.WaitingUnit, worker: types.PlaceableWorker): number {
-    if (unit.serves) {
-        return worker.filling * COMPANY_PENALTY;
+    if (unit.latencySensitive) {
+        return worker.bestEffortTasks * COMPANY_PENALTY;
     }
-    if (unit.fills) {
-        return worker.serving * COMPANY_PENALTY + worker.filling;
+    if (unit.bestEffort) {
+        return worker.latencySensitiveTasks * COMPANY_PENALTY + worker.bestEffortTasks;
     }
     return 0;
 }
@@ -194,7 +194,7 @@
 const COMPANY_PENALTY = 1_000;
 
 /** Accelerators first, since they bind; processors break ties. */
-function getLeftover(room: rooms.MutableRoom): number {
+function getLeftover(room: rooms.MutableResources): number {
     return room.accelerators + room.cpuMillis / CPU_TIE_SCALE;
 }
 
--- a/src/decisions/__tests__/plainPlan.ts
+++ b/src/decisions/__tests__/referencePlan.ts
@@ -2,22 +2,22 @@
  * The same decisions as `plan`, without any index: it looks at every worker, rack and group for every unit.
  * Slow, and easy to check by reading; the index must not change what is decided.
  */
-import * as protection from "../protection";
-import * as rooms from "../room";
+import * as protection from "../disruptionBudget";
+import * as rooms from "../resources";
 import * as types from "../types";
-import * as plainPlace from "./plainPlace";
-import * as plainPreempt from "./plainPreempt";
+import * as plainPlace from "./referencePlace";
+import * as plainPreempt from "./referencePreempt";
 
-export function planPlainly(input: types.PlanInput): types.Plan {
-    const free = new Map<string, rooms.MutableRoom>();
+export function planByReference(input: types.PlanInput): types.Plan {
+    const free = new Map<string, rooms.MutableResources>();
     /** Free now or within the stop time; what is promised to an earlier unit is taken off. */
-    const soon = new Map<string, rooms.MutableRoom>();
+    const soon = new Map<string, rooms.MutableResources>();
     for (const worker of input.workers) {
-        const room = rooms.copyRoom(worker.capacity);
-        rooms.takeRoom(room, worker.used);
+        const room = rooms.copyResources(worker.capacity);
+        rooms.subtractResources(room, worker.used);
         free.set(worker.id, room);
-        const later = rooms.copyRoom(room);
-        rooms.addRoom(later, worker.freeing);
+        const later = rooms.copyResources(room);
+        rooms.addResources(later, worker.releasing);
         soon.set(worker.id, later);
     }
     const starts: types.PlannedStart[] = [];
@@ -28,18 +28,18 @@
 
     const reserve = (unit: types.WaitingUnit, workerIds: readonly string[]) => {
         for (const workerId of workerIds) {
-            rooms.takeRoom(soon.get(workerId)!, unit.needs);
-            rooms.capRoom(free.get(workerId)!, soon.get(workerId)!);
+            rooms.subtractResources(soon.get(workerId)!, unit.needs);
+            rooms.capResources(free.get(workerId)!, soon.get(workerId)!);
         }
     };
-    const protector = protection.createProtector();
+    const protector = protection.createDisruptionBudgets();
     /** Without a choice that the protected steps allow, the excess victims are left out, until one does or none is left. */
     const choosePreemption = (unit: types.WaitingUnit) => {
         const spared = new Set(stopped);
         for (;;) {
-            const running = input.getGroups().filter(group => !spared.has(group) && protector.mayStop(group));
+            const running = input.getRunningGroups().filter(group => !spared.has(group) && protector.canStop(group));
             const choice = plainPreempt.preempt(unit, input.workers, running, soonOf);
-            const excess = choice ? protector.findExcess(choice.victims) : [];
+            const excess = choice ? protector.findOverBudget(choice.victims) : [];
             if (!choice || excess.length === 0) {
                 return choice;
             }
@@ -51,14 +51,14 @@
         if (!choice) {
             return false;
         }
-        protector.choose(choice.victims);
+        protector.recordStops(choice.victims);
         for (const victim of choice.victims) {
             stopped.add(victim);
-            stops.push({ group: victim, forUnit: unit.key, claim: unit.claim });
+            stops.push({ group: victim, forUnit: unit.key, tier: unit.tier });
             for (const member of victim.members) {
                 const later = soon.get(member.workerId);
                 if (later) {
-                    rooms.addRoom(later, member.needs);
+                    rooms.addResources(later, member.needs);
                 }
             }
         }
@@ -68,29 +68,29 @@
 
     const begun = new Set<string>();
     const avoid = (unit: types.WaitingUnit, company: types.Company): types.WaitingUnit => {
-        const near = input.workers.filter(worker => worker.company >= company || begun.has(worker.id));
-        return unit.suspect
-            ? { ...unit, avoided: new Set([...unit.avoided, ...near.map(worker => worker.id)]) }
+        const near = input.workers.filter(worker => worker.occupancy >= company || begun.has(worker.id));
+        return unit.mayCrashWorker
+            ? { ...unit, excludedWorkerIds: new Set([...unit.excludedWorkerIds, ...near.map(worker => worker.id)]) }
             : unit;
     };
     const hopeless = new Set<string>();
     const stepTasks = createStepTasks();
     for (const waiting of input.units) {
-        if (hopeless.has(waiting.family)) {
+        if (hopeless.has(waiting.equivalenceClass)) {
             continue;
         }
-        const unit = avoid(stepTasks.withPlaced(waiting), types.Company.Unsettled);
-        const now = plainPlace.place(avoid(unit, types.Company.Settled), input.workers, freeOf)
+        const unit = avoid(stepTasks.withPlaced(waiting), types.Company.RecentStart);
+        const now = plainPlace.place(avoid(unit, types.Company.Stable), input.workers, freeOf)
             ?? plainPlace.place(unit, input.workers, freeOf);
         if (now) {
             starts.push({ unit, workerIds: now });
             stepTasks.add(unit, now);
             for (const workerId of now) {
-                rooms.takeRoom(free.get(workerId)!, unit.needs);
-                rooms.takeRoom(soon.get(workerId)!, unit.needs);
+                rooms.subtractResources(free.get(workerId)!, unit.needs);
+                rooms.subtractResources(soon.get(workerId)!, unit.needs);
                 begun.add(workerId);
             }
-            for (const workerId of unit.suspect ? now : []) {
+            for (const workerId of unit.mayCrashWorker ? now : []) {
                 free.set(workerId, { cpuMillis: -1, memoryMb: -1, accelerators: -1 });
                 soon.set(workerId, { cpuMillis: -1, memoryMb: -1, accelerators: -1 });
             }
@@ -102,8 +102,8 @@
             stepTasks.add(unit, later);
             continue;
         }
-        if (unit.claim === types.Claim.None || !tryPreempt(unit)) {
-            hopeless.add(unit.family);
+        if (unit.tier === types.Claim.None || !tryPreempt(unit)) {
+            hopeless.add(unit.equivalenceClass);
         }
     }
     return { starts, stops };
--- a/src/decisions/__tests__/plainPreempt.ts
+++ b/src/decisions/__tests__/referencePreempt.ts
@@ -1,7 +1,7 @@
 /** Whose work is stopped, looking at every group: the plain counterpart of `preempt` and `sparing`. */
-import * as rooms from "../room";
+import * as rooms from "../resources";
 import * as types from "../types";
-import * as plainPlace from "./plainPlace";
+import * as plainPlace from "./referencePlace";
 
 /** How many members a worker takes once some groups there are stopped. */
 interface Host {
@@ -13,7 +13,7 @@
 
 /** Whether the unit's claim goes before the group's. */
 function mayStop(unit: types.WaitingUnit, group: types.RunningGroup): boolean {
-    return unit.claim > group.claim;
+    return unit.tier > group.tier;
 }
 
 /** The workers, and the victims whose stop costs least; `undefined` where nothing that may be stopped suffices. */
@@ -44,7 +44,7 @@
         }
     }
     // A guarantee is kept within its bound even where no single rack can take the gang.
-    if (!best && unit.sameRack && unit.claim === types.Claim.Guaranteed) {
+    if (!best && unit.sameRack && unit.tier === types.Claim.Guaranteed) {
         return choose(unit, hosts, roomOf);
     }
     return best;
@@ -72,7 +72,7 @@
     victims: readonly types.RunningGroup[],
     roomOf: plainPlace.RoomOf,
 ): Host[] {
-    const room = rooms.copyRoom(roomOf(worker));
+    const room = rooms.copyResources(roomOf(worker));
     const hosts: Host[] = [];
     let fits = plainPlace.countMembers(unit, worker, room);
     let cost = 0;
@@ -86,7 +86,7 @@
         }
         for (const member of victim.members) {
             if (member.workerId === worker.id) {
-                rooms.addRoom(room, member.needs);
+                rooms.addResources(room, member.needs);
             }
         }
         stopped.push(victim);
@@ -177,12 +177,12 @@
     victims: ReadonlySet<types.RunningGroup>,
     roomOf: plainPlace.RoomOf,
 ): string[] {
-    const roomById = new Map(workers.map(worker => [worker.id, rooms.copyRoom(roomOf(worker))]));
+    const roomById = new Map(workers.map(worker => [worker.id, rooms.copyResources(roomOf(worker))]));
     for (const victim of victims) {
         for (const member of victim.members) {
             const room = roomById.get(member.workerId);
             if (room) {
-                rooms.addRoom(room, member.needs);
+                rooms.addResources(room, member.needs);
             }
         }
     }
--- a/src/decisions/__tests__/speed.test.ts
+++ b/src/decisions/__tests__/speed.test.ts
@@ -3,9 +3,9 @@
 /** What a worker tells of a task: time in milliseconds, percent. */
 type Told = readonly [at: number, percent: number];
 
-function track(told: readonly Told[]): speed.SpeedTrack {
-    const result = speed.createSpeedTrack();
-    told.forEach(([at, percent]) => speed.takeSample(result, percent, at));
+function track(told: readonly Told[]): speed.SpeedHistory {
+    const result = speed.createSpeedHistory();
+    told.forEach(([at, percent]) => speed.recordProgress(result, percent, at));
     return result;
 }
 
@@ -40,7 +40,7 @@
         ["its tasks share it", [1.5, 2, 2.2], false],
     ];
     test.each(cases)("%s", (_name, slowdowns, slow) => {
-        expect(speed.isSlow(slowdowns)).toBe(slow);
+        expect(speed.isWorkerSlow(slowdowns)).toBe(slow);
     });
 });
 
@@ -48,14 +48,14 @@
     /** Tasks of 10 s that go at a sixth of their speed. */
     const SLOW = { bestRate: 0.01, recentRate: 0.01 / 6 };
     const cases: ReadonlyArray<readonly [name: string, input: Partial<speed.MoveInput>, move: boolean]> = [
-        ["half done, goes on from what it saved", { percent: 50, saves: true }, true],
-        ["half done, would begin anew", { percent: 50, saves: false }, false],
-        ["hardly begun", { percent: 5, saves: false }, true],
-        ["nearly done", { percent: 98, saves: true }, false],
-        ["nothing is known of its speed", { percent: 5, saves: true, bestRate: 0, recentRate: 0 }, false],
+        ["half done, goes on from what it saved", { percent: 50, checkpoints: true }, true],
+        ["half done, would begin anew", { percent: 50, checkpoints: false }, false],
+        ["hardly begun", { percent: 5, checkpoints: false }, true],
+        ["nearly done", { percent: 98, checkpoints: true }, false],
+        ["nothing is known of its speed", { percent: 5, checkpoints: true, bestRate: 0, recentRate: 0 }, false],
     ];
     test.each(cases)("%s", (_name, input, move) => {
-        const times = speed.getMoveTimes({ percent: 0, saves: false, ...SLOW, ...input });
+        const times = speed.getMoveTimes({ percent: 0, checkpoints: false, ...SLOW, ...input });
         expect(times !== undefined).toBe(move);
     });
 });
--- a/src/decisions/protection.ts
+++ b/src/decisions/disruptionBudget.ts
@@ -6,35 +6,35 @@
  */
 import type * as types from "./types";
 
-export interface Protector {
+export interface DisruptionBudgets {
     /** Whether the group may be stopped beside all that was chosen before. */
-    mayStop(group: types.RunningGroup): boolean;
+    canStop(group: types.RunningGroup): boolean;
     /** Of these victims, those that may not be stopped beside the others; the first ones go first. */
-    findExcess(victims: readonly types.RunningGroup[]): readonly types.RunningGroup[];
-    choose(victims: readonly types.RunningGroup[]): void;
+    findOverBudget(victims: readonly types.RunningGroup[]): readonly types.RunningGroup[];
+    recordStops(victims: readonly types.RunningGroup[]): void;
 }
 
-export function createProtector(): Protector {
+export function createDisruptionBudgets(): DisruptionBudgets {
     const chosenByStep = new Map<string, number>();
-    const getLeft = (protection: types.Protection, chosen: ReadonlyMap<string, number>) =>
-        protection.mayStop - (chosen.get(protection.step) ?? 0);
+    const getLeft = (protection: types.DisruptionBudget, chosen: ReadonlyMap<string, number>) =>
+        protection.allowedDisruptions - (chosen.get(protection.step) ?? 0);
     const count = (victims: readonly types.RunningGroup[], counts: Map<string, number>) => {
         const excess: types.RunningGroup[] = [];
         for (const victim of victims) {
-            if (!victim.protection) {
+            if (!victim.disruptionBudget) {
                 continue;
             }
-            if (getLeft(victim.protection, counts) <= 0) {
+            if (getLeft(victim.disruptionBudget, counts) <= 0) {
                 excess.push(victim);
                 continue;
             }
-            counts.set(victim.protection.step, (counts.get(victim.protection.step) ?? 0) + 1);
+            counts.set(victim.disruptionBudget.step, (counts.get(victim.disruptionBudget.step) ?? 0) + 1);
         }
         return excess;
     };
     return {
-        mayStop: group => !group.protection || getLeft(group.protection, chosenByStep) > 0,
-        findExcess: victims => count(victims, new Map(chosenByStep)),
-        choose: victims => void count(victims, chosenByStep),
+        canStop: group => !group.disruptionBudget || getLeft(group.disruptionBudget, chosenByStep) > 0,
+        findOverBudget: victims => count(victims, new Map(chosenByStep)),
+        recordStops: victims => void count(victims, chosenByStep),
     };
 }
--- a/src/decisions/fleet.ts
+++ b/src/decisions/fleet.ts
@@ -5,7 +5,7 @@
  * fullest worker that fits by two binary searches, and skips a rack that cannot hold a gang by one comparison.
  */
 import type * as work from "../work/index";
-import * as rooms from "./room";
+import * as rooms from "./resources";
 import type * as types from "./types";
 
 /** A worker and what is left of its room. */
@@ -14,7 +14,7 @@
     /** Its place among the workers of the pass; of equal hosts the first one goes first. */
     readonly order: number;
     /** Changed by `Fleet.change` only. */
-    readonly room: rooms.MutableRoom;
+    readonly room: rooms.MutableResources;
     readonly rack: Rack;
 }
 
@@ -25,11 +25,11 @@
     /** Rises whenever the room of one of its hosts changes. */
     getVersion(): number;
     /** Room left on all hosts together, as `getLeftover` measures it. */
-    getLeftover(): number;
+    getFreeScore(): number;
     /** Members with these needs that its hosts hold now. */
-    countFits(needs: work.Room): number;
+    countFits(needs: work.Resources): number;
     /** Members with these needs that its hosts would hold with nothing else on them. */
-    countCapacity(needs: work.Room): number;
+    countFitsWhenEmpty(needs: work.Resources): number;
 }
 
 /** The hosts of one service. */
@@ -38,20 +38,20 @@
     isMostlyFree(): boolean;
     readonly racks: ReadonlyMap<string, Rack>;
     /** Hosts that may hold such a member, the fullest first; a few that cannot may be among them. */
-    iterateFullestFirst(needs: work.Room): Iterable<Host>;
+    iterateFullestFirst(needs: work.Resources): Iterable<Host>;
 }
 
 export interface Fleet {
     readonly hosts: readonly Host[];
     getPool(service: string): Pool;
     getHost(workerId: string): Host | undefined;
-    change(host: Host, apply: (room: rooms.MutableRoom) => void): void;
+    updateFree(host: Host, apply: (room: rooms.MutableResources) => void): void;
 }
 
 /** A fleet in which `getRoom` says what is left on each worker at first. */
 export function createFleet(
     workers: readonly types.PlaceableWorker[],
-    getRoom: (worker: types.PlaceableWorker, order: number) => rooms.MutableRoom,
+    getRoom: (worker: types.PlaceableWorker, order: number) => rooms.MutableResources,
 ): Fleet {
     const pools = new Map<string, MutablePool>();
     const hosts = workers.map((worker, order) => {
@@ -66,12 +66,12 @@
             hostsById ??= new Map(hosts.map(host => [host.worker.id, host]));
             return hostsById.get(workerId);
         },
-        change: (host, apply) => pools.get(host.worker.service)!.change(host, apply),
+        updateFree: (host, apply) => pools.get(host.worker.service)!.change(host, apply),
     };
 }
 
 /** Accelerators first, since they bind; processors break ties. */
-export function getLeftover(room: rooms.MutableRoom): number {
+export function getFreeScore(room: rooms.MutableResources): number {
     return room.accelerators + room.cpuMillis / CPU_TIE_SCALE;
 }
 
@@ -79,8 +79,8 @@
 const CPU_TIE_SCALE = 1e6;
 
 interface MutablePool extends Pool {
-    add(worker: types.PlaceableWorker, order: number, room: rooms.MutableRoom): Host;
-    change(host: Host, apply: (room: rooms.MutableRoom) => void): void;
+    add(worker: types.PlaceableWorker, order: number, room: rooms.MutableResources): Host;
+    change(host: Host, apply: (room: rooms.MutableResources) => void): void;
 }
 
 function createPool(): MutablePool {
@@ -185,9 +185,9 @@
         name,
         hosts,
         getVersion: () => version,
-        getLeftover: () => leftover ??= sum(hosts, host => getLeftover(host.room)),
+        getFreeScore: () => leftover ??= sum(hosts, host => getFreeScore(host.room)),
         countFits: fits.get,
-        countCapacity: capacities.get,
+        countFitsWhenEmpty: capacities.get,
         add: host => {
             hosts.push(host);
         },
@@ -200,10 +200,10 @@
 }
 
 /** Counts by needs: the units of a pass have few different ones. */
-function createMemo(count: (needs: work.Room) => number) {
+function createMemo(count: (needs: work.Resources) => number) {
     const counts = new Map<string, number>();
     return {
-        get: (needs: work.Room) => getOrCreate(counts, rooms.getRoomKey(needs), () => count(needs)),
+        get: (needs: work.Resources) => getOrCreate(counts, rooms.getResourcesKey(needs), () => count(needs)),
         clear: () => counts.clear(),
     };
 }
--- a/src/decisions/index.ts
+++ b/src/decisions/index.ts
@@ -1,32 +1,40 @@
 /** Order, place and preemption: decisions without a network or a clock of their own. */
-export { isMechanism, type Mechanism, MECHANISMS, NOTHING } from "./mechanism";
-export { getProspect, Prospect, type Urgency } from "./order";
+export { isMechanism, type Mechanism, MECHANISMS, NO_MECHANISMS } from "./mechanism";
+export { getLatenessClass, Prospect, type Urgency } from "./order";
 export { decidePace, type PaceInput } from "./pace";
 export { plan } from "./plan";
-export { leaveOut, POLICIES, type Policy, type PolicyName } from "./policy";
+export { disableMechanisms, POLICIES, type Policy, type PolicyName } from "./policy";
 export { createPredictor, type Predictor } from "./prediction";
-export { addRoom, copyRoom, countFits, getCoreEquivalents, isWithin, type MutableRoom, takeRoom } from "./room";
 export {
-    createSpeedTrack,
+    addResources,
+    copyResources,
+    countFits,
+    fitsWithin,
+    getCoreEquivalents,
+    type MutableResources,
+    subtractResources,
+} from "./resources";
+export {
+    createSpeedHistory,
     getMoveTimes,
     getSlowdown,
-    isSlow,
+    isWorkerSlow,
     type MoveInput,
     type MoveTimes,
-    type SpeedTrack,
-    takeSample,
+    recordProgress,
+    type SpeedHistory,
 } from "./speed";
-export { paysToMove, REST_MS } from "./stopCost";
+export { isMoveWorthwhile, PREEMPTION_BACKOFF_MS } from "./stopCost";
 export {
     Claim,
-    CLAIM_NAMES,
     Company,
+    type DisruptionBudget,
     type PlaceableWorker,
     type Plan,
     type PlanInput,
     type PlannedStart,
     type PlannedStop,
-    type Protection,
     type RunningGroup,
+    TIER_NAMES,
     type WaitingUnit,
 } from "./types";
--- a/src/decisions/isolation.ts
+++ b/src/decisions/isolation.ts
@@ -8,28 +8,28 @@
 
 export interface Isolation {
     /** The unit as it may be placed; a suspect one avoids workers on which something has just begun. */
-    withApart(unit: types.WaitingUnit): types.WaitingUnit;
+    avoidRecentStarts(unit: types.WaitingUnit): types.WaitingUnit;
     /** The unit as it is best placed, on workers without tasks; `undefined` where that makes no difference. */
-    withIdle(unit: types.WaitingUnit): types.WaitingUnit | undefined;
+    requireIdleWorkers(unit: types.WaitingUnit): types.WaitingUnit | undefined;
     /** The unit starts there. */
-    note(workerIds: readonly string[]): void;
+    recordStart(workerIds: readonly string[]): void;
 }
 
 export function createIsolation(workers: readonly types.PlaceableWorker[]): Isolation {
     /** Workers on which this pass has started something. */
     const begun = new Set<string>();
     const listAvoided = (unit: types.WaitingUnit, company: types.Company) => [
-        ...unit.avoided,
+        ...unit.excludedWorkerIds,
         ...begun,
-        ...workers.filter(worker => worker.company >= company).map(worker => worker.id),
+        ...workers.filter(worker => worker.occupancy >= company).map(worker => worker.id),
     ];
     const avoid = (unit: types.WaitingUnit, company: types.Company) => ({
         ...unit,
-        avoided: new Set(listAvoided(unit, company)),
+        excludedWorkerIds: new Set(listAvoided(unit, company)),
     });
     return {
-        withApart: unit => unit.suspect ? avoid(unit, types.Company.Unsettled) : unit,
-        withIdle: unit => unit.suspect ? avoid(unit, types.Company.Settled) : undefined,
-        note: workerIds => workerIds.forEach(id => begun.add(id)),
+        avoidRecentStarts: unit => unit.mayCrashWorker ? avoid(unit, types.Company.RecentStart) : unit,
+        requireIdleWorkers: unit => unit.mayCrashWorker ? avoid(unit, types.Company.Stable) : undefined,
+        recordStart: workerIds => workerIds.forEach(id => begun.add(id)),
     };
 }
--- a/src/decisions/mechanism.ts
+++ b/src/decisions/mechanism.ts
@@ -30,7 +30,7 @@
 } as const;
 export type Mechanism = keyof typeof MECHANISMS;
 
-export const NOTHING: ReadonlySet<Mechanism> = new Set();
+export const NO_MECHANISMS: ReadonlySet<Mechanism> = new Set();
 
 export function isMechanism(name: string): name is Mechanism {
     return Object.hasOwn(MECHANISMS, name);
--- a/src/decisions/sparing.ts
+++ b/src/decisions/minimizeVictims.ts
@@ -7,10 +7,10 @@
  */
 import type * as fleets from "./fleet";
 import * as place from "./place";
-import * as rooms from "./room";
+import * as rooms from "./resources";
 import type * as types from "./types";
 
-export interface Needed {
+export interface PreemptionChoice {
     /** One host for each member of the unit. */
     readonly hosts: readonly fleets.Host[];
     readonly victims: readonly types.RunningGroup[];
@@ -18,12 +18,12 @@
 }
 
 /** `hosts` together hold the unit once all `victims` are stopped; spares the dearest victims first, if any. */
-export function spareVictims(
+export function minimizeVictims(
     unit: types.WaitingUnit,
     hosts: readonly fleets.Host[],
     victims: Iterable<types.RunningGroup>,
     sparesVictims = true,
-): Needed {
+): PreemptionChoice {
     const needed = new Set(victims);
     const dearestFirst = (sparesVictims ? [...needed] : []).sort((a, b) => b.costCoreSeconds - a.costCoreSeconds);
     for (const victim of dearestFirst) {
@@ -45,18 +45,18 @@
     hosts: readonly fleets.Host[],
     victims: ReadonlySet<types.RunningGroup>,
 ): fleets.Host[] {
-    const roomById = new Map(hosts.map(host => [host.worker.id, rooms.copyRoom(host.room)]));
+    const roomById = new Map(hosts.map(host => [host.worker.id, rooms.copyResources(host.room)]));
     for (const victim of victims) {
         for (const member of victim.members) {
             const room = roomById.get(member.workerId);
             if (room) {
-                rooms.addRoom(room, member.needs);
+                rooms.addResources(room, member.needs);
             }
         }
     }
     const places: fleets.Host[] = [];
     for (const host of hosts) {
-        const fits = place.countMembers(unit, host.worker, roomById.get(host.worker.id)!);
+        const fits = place.countFittingMembers(unit, host.worker, roomById.get(host.worker.id)!);
         for (let member = 0; member < fits && places.length < unit.count; member++) {
             places.push(host);
         }
--- a/src/decisions/order.ts
+++ b/src/decisions/order.ts
@@ -13,7 +13,7 @@
 const LATE_MULTIPLE = 3;
 
 export interface Urgency {
-    readonly claim: types.Claim;
+    readonly tier: types.Claim;
     readonly priority: number;
     /** Time since the job was handed in, or was due. */
     readonly ageMs: number;
@@ -24,41 +24,41 @@
 }
 
 /** What can still be earned; lower goes first. */
-export const Prospect = { InTime: 0, Late: 1, Past: 2 } as const;
+export const Prospect = { InTime: 0, Late: 1, TooLate: 2 } as const;
 export type Prospect = typeof Prospect[keyof typeof Prospect];
 
-export function getProspect(urgency: Urgency): Prospect {
+export function getLatenessClass(urgency: Urgency): Prospect {
     const endsAfterMs = urgency.ageMs + urgency.remainingMs;
     if (endsAfterMs <= urgency.objectiveMs) {
         return Prospect.InTime;
     }
-    return endsAfterMs <= LATE_MULTIPLE * urgency.objectiveMs ? Prospect.Late : Prospect.Past;
+    return endsAfterMs <= LATE_MULTIPLE * urgency.objectiveMs ? Prospect.Late : Prospect.TooLate;
 }
 
 /** Time that the unit may still wait without its prospect getting worse; `Infinity` when nothing is left to lose. */
 export function getSlackMs(urgency: Urgency): number {
     const endsAfterMs = urgency.ageMs + urgency.remainingMs;
-    switch (getProspect(urgency)) {
+    switch (getLatenessClass(urgency)) {
         case Prospect.InTime:
             return urgency.objectiveMs - endsAfterMs;
         case Prospect.Late:
             return LATE_MULTIPLE * urgency.objectiveMs - endsAfterMs;
-        case Prospect.Past:
+        case Prospect.TooLate:
             return Infinity;
     }
 }
 
 /** Sorts by claim, prospect, priority and slack. */
 export function compareUrgency(a: Urgency, b: Urgency): number {
-    return b.claim - a.claim
-        || getProspect(a) - getProspect(b)
+    return b.tier - a.tier
+        || getLatenessClass(a) - getLatenessClass(b)
         || a.priority - b.priority
         || compareNumbers(getSlackMs(a), getSlackMs(b));
 }
 
 /** Sorts by claim, priority and slack. */
-export function compareWithoutProspect(a: Urgency, b: Urgency): number {
-    return b.claim - a.claim || a.priority - b.priority || compareNumbers(getSlackMs(a), getSlackMs(b));
+export function compareWithoutLateness(a: Urgency, b: Urgency): number {
+    return b.tier - a.tier || a.priority - b.priority || compareNumbers(getSlackMs(a), getSlackMs(b));
 }
 
 /** Also of infinite numbers, whose difference is none. */
--- a/src/decisions/pace.ts
+++ b/src/decisions/pace.ts
@@ -7,9 +7,9 @@
 
 export interface PaceInput {
     /** The pace now, in percent. */
-    readonly percent: number;
+    readonly currentPercent: number;
     /** Tail of the response times of each serving task beside the fillers, as a share of its bound. */
-    readonly tailShares: readonly number[];
+    readonly tailLatencyRatios: readonly number[];
 }
 
 /** Near the bound: the figures are rough and half a second old, so a cut at the bound itself comes too late. */
@@ -21,12 +21,12 @@
 const RAISE_PERCENT = 10;
 
 export function decidePace(input: PaceInput): number {
-    const worst = Math.max(0, ...input.tailShares);
+    const worst = Math.max(0, ...input.tailLatencyRatios);
     if (worst >= STOP_SHARE) {
         return 0;
     }
     if (worst >= CUT_SHARE) {
-        return Math.floor(input.percent / 2);
+        return Math.floor(input.currentPercent / 2);
     }
-    return worst < RAISE_SHARE ? Math.min(100, input.percent + RAISE_PERCENT) : input.percent;
+    return worst < RAISE_SHARE ? Math.min(100, input.currentPercent + RAISE_PERCENT) : input.currentPercent;
 }
--- a/src/decisions/place.ts
+++ b/src/decisions/place.ts
@@ -1,7 +1,7 @@
 /** Where a unit fits: the choice of workers within the room that a fleet has left. */
 import * as fleets from "./fleet";
 import * as mechanism from "./mechanism";
-import * as rooms from "./room";
+import * as rooms from "./resources";
 import * as types from "./types";
 
 /**
@@ -29,7 +29,7 @@
 export function place(
     unit: types.WaitingUnit,
     fleet: fleets.Fleet,
-    leftOut: ReadonlySet<mechanism.Mechanism> = mechanism.NOTHING,
+    leftOut: ReadonlySet<mechanism.Mechanism> = mechanism.NO_MECHANISMS,
 ): fleets.Host[] | undefined {
     const pool = fleet.getPool(unit.service);
     if (unit.count === 1) {
@@ -66,18 +66,18 @@
 }
 
 /** Whether the worker may run the unit at all, whatever room it has. */
-export function mayRun(unit: types.WaitingUnit, worker: types.PlaceableWorker): boolean {
+export function isEligible(unit: types.WaitingUnit, worker: types.PlaceableWorker): boolean {
     return worker.service === unit.service
         && (unit.requiredLabel === undefined || worker.labels.includes(unit.requiredLabel))
-        && !unit.avoided.has(worker.id)
-        && (unit.allowed === undefined || unit.allowed.has(worker.id));
+        && !unit.excludedWorkerIds.has(worker.id)
+        && (unit.allowedWorkerIds === undefined || unit.allowedWorkerIds.has(worker.id));
 }
 
 /** How many members of the unit the worker takes within that room. */
-export function countMembers(
+export function countFittingMembers(
     unit: types.WaitingUnit,
     worker: types.PlaceableWorker,
-    room: rooms.MutableRoom,
+    room: rooms.MutableResources,
 ): number {
     const fits = Math.min(unit.count, rooms.countFits(room, unit.needs));
     if (unit.maxPerWorker === 0) {
@@ -89,12 +89,12 @@
 
 /** Whether every worker of the service may run the unit. */
 export function isUnrestricted(unit: types.WaitingUnit): boolean {
-    return unit.requiredLabel === undefined && unit.avoided.size === 0 && unit.allowed === undefined;
+    return unit.requiredLabel === undefined && unit.excludedWorkerIds.size === 0 && unit.allowedWorkerIds === undefined;
 }
 
 /** Hosts that may hold a member, the fullest first; a few that cannot may be among them. */
 function iterateCandidates(unit: types.WaitingUnit, fleet: fleets.Fleet, pool: fleets.Pool): Iterable<fleets.Host> {
-    return unit.allowed ? listAllowed(unit.allowed, fleet) : pool.iterateFullestFirst(unit.needs);
+    return unit.allowedWorkerIds ? listAllowed(unit.allowedWorkerIds, fleet) : pool.iterateFullestFirst(unit.needs);
 }
 
 /** Advice names a hundred workers at most, so they are sorted at each call. */
@@ -104,7 +104,7 @@
 }
 
 function sortFullestFirst(hosts: fleets.Host[]): fleets.Host[] {
-    return hosts.sort((a, b) => fleets.getLeftover(a.room) - fleets.getLeftover(b.room) || a.order - b.order);
+    return hosts.sort((a, b) => fleets.getFreeScore(a.room) - fleets.getFreeScore(b.room) || a.order - b.order);
 }
 
 /** The fullest worker that fits, so that whole workers stay free for what needs them. */
@@ -119,7 +119,7 @@
         const near = findFullest(unit, sortFullestFirst([...dataRack.hosts]));
         const mustBeNear = !leftOut.has("dataPatience")
             && unit.waitedMs < getPatienceMs(unit, DATA_PATIENCE, pool, leftOut)
-            && dataRack.hosts.some(host => mayRun(unit, host.worker));
+            && dataRack.hosts.some(host => isEligible(unit, host.worker));
         if (near || mustBeNear) {
             return near;
         }
@@ -132,12 +132,12 @@
     let best: fleets.Host | undefined;
     let least = Infinity;
     for (const host of hosts) {
-        const leftover = fleets.getLeftover(host.room);
+        const leftover = fleets.getFreeScore(host.room);
         if (leftover >= least) {
             break;
         }
         const measure = leftover + getCompany(unit, host.worker);
-        if (measure < least && mayRun(unit, host.worker) && countMembers(unit, host.worker, host.room) > 0) {
+        if (measure < least && isEligible(unit, host.worker) && countFittingMembers(unit, host.worker, host.room) > 0) {
             best = host;
             least = measure;
         }
@@ -156,8 +156,8 @@
         if (penalty >= least || rack.countFits(unit.needs) < unit.count) {
             continue;
         }
-        const hosts = unrestricted ? rack.hosts : rack.hosts.filter(host => mayRun(unit, host.worker));
-        const leftover = penalty + (unrestricted ? rack.getLeftover() : sumLeftover(hosts));
+        const hosts = unrestricted ? rack.hosts : rack.hosts.filter(host => isEligible(unit, host.worker));
+        const leftover = penalty + (unrestricted ? rack.getFreeScore() : sumLeftover(hosts));
         if (leftover >= least) {
             continue;
         }
@@ -171,7 +171,7 @@
 }
 
 function sumLeftover(hosts: readonly fleets.Host[]): number {
-    return hosts.reduce((sum, host) => sum + fleets.getLeftover(host.room), 0);
+    return hosts.reduce((sum, host) => sum + fleets.getFreeScore(host.room), 0);
 }
 
 /** Larger than the room of any rack: a rack with the data goes first, whatever room it has. */
@@ -181,7 +181,7 @@
 function pack(unit: types.WaitingUnit, hosts: Iterable<fleets.Host>): fleets.Host[] | undefined {
     const chosen: fleets.Host[] = [];
     for (const host of hosts) {
-        const fits = mayRun(unit, host.worker) ? countMembers(unit, host.worker, host.room) : 0;
+        const fits = isEligible(unit, host.worker) ? countFittingMembers(unit, host.worker, host.room) : 0;
         for (let member = 0; member < fits && chosen.length < unit.count; member++) {
             chosen.push(host);
         }
@@ -211,19 +211,19 @@
     pool: fleets.Pool,
     leftOut: ReadonlySet<mechanism.Mechanism>,
 ): number {
-    const wantedMs = unit.expectedMs * share;
-    const patienceMs = unit.claim === types.Claim.Guaranteed ? Math.min(wantedMs, GUARANTEED_PATIENCE_MS) : wantedMs;
+    const wantedMs = unit.expectedDurationMs * share;
+    const patienceMs = unit.tier === types.Claim.Guaranteed ? Math.min(wantedMs, GUARANTEED_PATIENCE_MS) : wantedMs;
     return patienceMs > IDLE_PATIENCE_MS && !leftOut.has("idlePatience") && pool.isMostlyFree()
         ? IDLE_PATIENCE_MS
         : patienceMs;
 }
 
 function couldHold(unit: types.WaitingUnit, rack: fleets.Rack): boolean {
-    if (rack.countCapacity(unit.needs) < unit.count) {
+    if (rack.countFitsWhenEmpty(unit.needs) < unit.count) {
         return false;
     }
     const most = rack.hosts.reduce(
-        (sum, { worker }) => sum + countMembers(unit, worker, rooms.copyRoom(worker.capacity)),
+        (sum, { worker }) => sum + countFittingMembers(unit, worker, rooms.copyResources(worker.capacity)),
         0,
     );
     return most >= unit.count;
@@ -231,11 +231,11 @@
 
 /** Serving and filling tasks are kept apart as long as there is a choice: fillers slow down what serves. */
 function getCompany(unit: types.WaitingUnit, worker: types.PlaceableWorker): number {
-    if (unit.serves) {
-        return worker.filling * COMPANY_PENALTY;
+    if (unit.latencySensitive) {
+        return worker.bestEffortTasks * COMPANY_PENALTY;
     }
-    if (unit.fills) {
-        return worker.serving * COMPANY_PENALTY + worker.filling;
+    if (unit.bestEffort) {
+        return worker.latencySensitiveTasks * COMPANY_PENALTY + worker.bestEffortTasks;
     }
     return 0;
 }
--- a/src/decisions/plan.ts
+++ b/src/decisions/plan.ts
@@ -4,36 +4,36 @@
  * A unit that waits for work to be stopped keeps the room that is coming free: without that, a smaller unit behind
  * it takes the room first and more work is stopped in the next pass, which shows as work thrown away without an end.
  */
+import * as protection from "./disruptionBudget";
 import * as fleets from "./fleet";
 import * as isolation from "./isolation";
 import * as mechanism from "./mechanism";
 import * as place from "./place";
 import * as preempt from "./preempt";
-import * as protection from "./protection";
-import * as rooms from "./room";
+import * as rooms from "./resources";
 import * as types from "./types";
 
 export function plan(input: types.PlanInput): types.Plan {
     const starts: types.PlannedStart[] = [];
     const stops: types.PlannedStop[] = [];
     const site = createSite(input);
-    const leftOut = input.leftOut ?? mechanism.NOTHING;
+    const leftOut = input.disabledMechanisms ?? mechanism.NO_MECHANISMS;
     const stepTasks = createStepTasks();
     const apart = isolation.createIsolation(input.workers);
     const hopeless = new Set<string>();
     for (const waiting of input.units) {
-        if (hopeless.has(waiting.family)) {
+        if (hopeless.has(waiting.equivalenceClass)) {
             continue;
         }
-        const unit = apart.withApart(stepTasks.withPlaced(waiting));
-        const idle = apart.withIdle(unit);
+        const unit = apart.avoidRecentStarts(stepTasks.withPlaced(waiting));
+        const idle = apart.requireIdleWorkers(unit);
         const now = (idle && place.place(idle, site.free, leftOut)) ?? place.place(unit, site.free, leftOut);
         if (now) {
             starts.push({ unit, workerIds: getIds(now) });
             stepTasks.add(unit, now);
-            apart.note(getIds(now));
+            apart.recordStart(getIds(now));
             site.take(unit, now);
-            if (unit.suspect) {
+            if (unit.mayCrashWorker) {
                 site.close(now);
             }
             continue;
@@ -44,15 +44,15 @@
             site.reserve(unit, later);
             continue;
         }
-        const needed = unit.claim === types.Claim.None || leftOut.has("preemption")
+        const needed = unit.tier === types.Claim.None || leftOut.has("preemption")
             ? undefined
-            : site.getPreemptor().choose(unit);
+            : site.getPreemptor().chooseVictims(unit);
         if (!needed) {
-            hopeless.add(unit.family);
+            hopeless.add(unit.equivalenceClass);
             continue;
         }
-        site.getPreemptor().stop(needed.victims);
-        stops.push(...needed.victims.map(group => ({ group, forUnit: unit.key, claim: unit.claim })));
+        site.getPreemptor().recordStops(needed.victims);
+        stops.push(...needed.victims.map(group => ({ group, forUnit: unit.key, tier: unit.tier })));
         site.reserve(unit, needed.hosts);
     }
     return { starts, stops };
@@ -61,8 +61,8 @@
 /** What the pass has left of the site. What few passes need is built when it is asked for. */
 function createSite(input: types.PlanInput) {
     const free = fleets.createFleet(input.workers, worker => {
-        const room = rooms.copyRoom(worker.capacity);
-        rooms.takeRoom(room, worker.used);
+        const room = rooms.copyResources(worker.capacity);
+        rooms.subtractResources(room, worker.used);
         return room;
     });
     /** Free now or within the stop time; what is promised to an earlier unit is taken off. */
@@ -70,8 +70,8 @@
     let preemptor: preempt.Preemptor | undefined;
     const getSoon = () =>
         soon ??= fleets.createFleet(input.workers, (worker, order) => {
-            const room = rooms.copyRoom(free.hosts[order]!.room);
-            rooms.addRoom(room, worker.freeing);
+            const room = rooms.copyResources(free.hosts[order]!.room);
+            rooms.addResources(room, worker.releasing);
             return room;
         });
     return {
@@ -80,29 +80,29 @@
         getPreemptor: () =>
             preemptor ??= preempt.createPreemptor({
                 fleet: getSoon(),
-                groups: input.getGroups(),
-                protector: protection.createProtector(),
-                leftOut: input.leftOut ?? mechanism.NOTHING,
+                groups: input.getRunningGroups(),
+                budgets: protection.createDisruptionBudgets(),
+                disabledMechanisms: input.disabledMechanisms ?? mechanism.NO_MECHANISMS,
             }),
         /** `hosts` are of `free`, one for each member. */
         take: (unit: types.WaitingUnit, hosts: readonly fleets.Host[]) => {
             for (const [host, members] of countEach(hosts)) {
-                free.change(host, room => rooms.takeRoom(room, unit.needs, members));
-                soon?.change(soon.hosts[host.order]!, room => rooms.takeRoom(room, unit.needs, members));
+                free.updateFree(host, room => rooms.subtractResources(room, unit.needs, members));
+                soon?.updateFree(soon.hosts[host.order]!, room => rooms.subtractResources(room, unit.needs, members));
             }
         },
         /** Nothing else starts on these in this pass; `hosts` are of `free`. */
         close: (hosts: readonly fleets.Host[]) => {
             for (const host of new Set(hosts)) {
-                free.change(host, rooms.closeRoom);
-                getSoon().change(getSoon().hosts[host.order]!, rooms.closeRoom);
+                free.updateFree(host, rooms.blockResources);
+                getSoon().updateFree(getSoon().hosts[host.order]!, rooms.blockResources);
             }
         },
         /** `hosts` are of `getSoon()`, one for each member. */
         reserve: (unit: types.WaitingUnit, hosts: readonly fleets.Host[]) => {
             for (const [host, members] of countEach(hosts)) {
-                getSoon().change(host, room => rooms.takeRoom(room, unit.needs, members));
-                free.change(free.hosts[host.order]!, room => rooms.capRoom(room, host.room));
+                getSoon().updateFree(host, room => rooms.subtractResources(room, unit.needs, members));
+                free.updateFree(free.hosts[host.order]!, room => rooms.capResources(room, host.room));
             }
         },
     };
--- a/src/decisions/preempt.ts
+++ b/src/decisions/preempt.ts
@@ -4,12 +4,12 @@
  * What a rack offers a unit changes only with the room and the running groups of the rack, so it is kept from one
  * unit of a pass to the next one that is alike: a full site asks the same question for every urgent task.
  */
+import type * as protection from "./disruptionBudget";
 import * as fleets from "./fleet";
 import type * as mechanism from "./mechanism";
+import * as sparing from "./minimizeVictims";
 import * as place from "./place";
-import type * as protection from "./protection";
-import * as rooms from "./room";
-import * as sparing from "./sparing";
+import * as rooms from "./resources";
 import * as types from "./types";
 
 /** A way to use a host: how many members it takes once some groups there are stopped. */
@@ -27,25 +27,27 @@
     readonly version: number;
     readonly ways: readonly Way[];
     /** Set once it was asked for. */
-    whole?: { readonly choice: sparing.Needed | undefined; };
+    whole?: { readonly choice: sparing.PreemptionChoice | undefined; };
 }
 
 export interface Preemptor {
     /** The hosts, and the victims whose stop costs least; `undefined` where nothing that may be stopped suffices. */
-    choose(unit: types.WaitingUnit): sparing.Needed | undefined;
+    chooseVictims(unit: types.WaitingUnit): sparing.PreemptionChoice | undefined;
     /** Takes the victims out, their room counts as free soon. */
-    stop(victims: readonly types.RunningGroup[]): void;
+    recordStops(victims: readonly types.RunningGroup[]): void;
 }
 
 export interface PreemptorOptions {
     /** Room that is free now or soon. */
     readonly fleet: fleets.Fleet;
     readonly groups: readonly types.RunningGroup[];
-    readonly protector: protection.Protector;
-    readonly leftOut: ReadonlySet<mechanism.Mechanism>;
+    readonly budgets: protection.DisruptionBudgets;
+    readonly disabledMechanisms: ReadonlySet<mechanism.Mechanism>;
 }
 
-export function createPreemptor({ fleet, groups, protector, leftOut }: PreemptorOptions): Preemptor {
+export function createPreemptor(
+    { fleet, groups, budgets: protector, disabledMechanisms: leftOut }: PreemptorOptions,
+): Preemptor {
     const sparesVictims = !leftOut.has("sparing");
     const groupsByWorker = groupByWorker(groups);
     const stopped = new Set<types.RunningGroup>();
@@ -53,7 +55,7 @@
 
     const getVictims = (unit: types.WaitingUnit, spared: ReadonlySet<types.RunningGroup>, workerId: string) =>
         (groupsByWorker.get(workerId) ?? []).filter(group =>
-            unit.claim > group.claim && !stopped.has(group) && !spared.has(group) && protector.mayStop(group)
+            unit.tier > group.tier && !stopped.has(group) && !spared.has(group) && protector.canStop(group)
         );
     const createOffer = (
         unit: types.WaitingUnit,
@@ -62,7 +64,7 @@
     ): Offer => ({
         version: rack.getVersion(),
         ways: rack.hosts
-            .filter(host => place.mayRun(unit, host.worker))
+            .filter(host => place.isEligible(unit, host.worker))
             .flatMap(host => listWays(unit, host, getVictims(unit, spared, host.worker.id)))
             .sort(compareWays),
     });
@@ -93,16 +95,16 @@
             ? findCheapest(unit, offers, sparesVictims)
             : takeWays(unit, mergeWays(offers), sparesVictims);
         // A guarantee is kept within its bound even where no single rack can take the gang.
-        return best ?? (unit.sameRack && unit.claim === types.Claim.Guaranteed
+        return best ?? (unit.sameRack && unit.tier === types.Claim.Guaranteed
             ? takeWays(unit, mergeWays(offers), sparesVictims)
             : undefined);
     };
     return {
-        choose: unit => {
+        chooseVictims: unit => {
             const spared = new Set<types.RunningGroup>();
             for (;;) {
                 const choice = chooseBeside(unit, spared);
-                const excess = choice ? protector.findExcess(choice.victims) : [];
+                const excess = choice ? protector.findOverBudget(choice.victims) : [];
                 if (excess.length === 0) {
                     return choice;
                 }
@@ -110,9 +112,9 @@
                 excess.forEach(group => spared.add(group));
             }
         },
-        stop: victims => {
-            protector.choose(victims);
-            if (victims.some(victim => victim.protection)) {
+        recordStops: victims => {
+            protector.recordStops(victims);
+            if (victims.some(victim => victim.disruptionBudget)) {
                 // Other tasks of the step, on any rack, may have become untouchable.
                 offersByKind.clear();
             }
@@ -121,7 +123,7 @@
                 for (const member of victim.members) {
                     const host = fleet.getHost(member.workerId);
                     if (host) {
-                        fleet.change(host, room => rooms.addRoom(room, member.needs));
+                        fleet.updateFree(host, room => rooms.addResources(room, member.needs));
                     }
                 }
             }
@@ -134,7 +136,7 @@
     if (!place.isUnrestricted(unit) || unit.maxPerWorker > 0) {
         return undefined;
     }
-    return `${unit.service} ${rooms.getRoomKey(unit.needs)} ${unit.count} ${unit.claim}`;
+    return `${unit.service} ${rooms.getResourcesKey(unit.needs)} ${unit.count} ${unit.tier}`;
 }
 
 /** Groups of each worker, those whose stop costs least first. */
@@ -159,9 +161,9 @@
 
 /** The ways to use a host, from no victim on, each with more members than the one before. */
 function listWays(unit: types.WaitingUnit, host: fleets.Host, candidates: readonly types.RunningGroup[]): Way[] {
-    const room = rooms.copyRoom(host.room);
+    const room = rooms.copyResources(host.room);
     const ways: Way[] = [];
-    let fits = place.countMembers(unit, host.worker, room);
+    let fits = place.countFittingMembers(unit, host.worker, room);
     let cost = 0;
     if (fits > 0) {
         ways.push({ host, fits, candidates, victimCount: 0, cost });
@@ -170,11 +172,11 @@
         const victim = candidates[victimCount - 1]!;
         for (const member of victim.members) {
             if (member.workerId === host.worker.id) {
-                rooms.addRoom(room, member.needs);
+                rooms.addResources(room, member.needs);
             }
         }
         cost += victim.costCoreSeconds;
-        const more = place.countMembers(unit, host.worker, room);
+        const more = place.countFittingMembers(unit, host.worker, room);
         if (more > fits) {
             fits = more;
             ways.push({ host, fits, candidates, victimCount, cost });
@@ -193,8 +195,8 @@
     unit: types.WaitingUnit,
     offers: readonly Offer[],
     sparesVictims: boolean,
-): sparing.Needed | undefined {
-    let best: sparing.Needed | undefined;
+): sparing.PreemptionChoice | undefined {
+    let best: sparing.PreemptionChoice | undefined;
     for (const offer of offers) {
         offer.whole ??= { choice: takeWays(unit, offer.ways, sparesVictims) };
         const { choice } = offer.whole;
@@ -231,7 +233,7 @@
     unit: types.WaitingUnit,
     ways: Iterable<Way>,
     sparesVictims: boolean,
-): sparing.Needed | undefined {
+): sparing.PreemptionChoice | undefined {
     const chosen = new Map<fleets.Host, Way>();
     let placed = 0;
     for (const way of ways) {
@@ -249,5 +251,5 @@
         return undefined;
     }
     const victims = [...chosen.values()].flatMap(way => way.candidates.slice(0, way.victimCount));
-    return sparing.spareVictims(unit, [...chosen.keys()], victims, sparesVictims);
+    return sparing.minimizeVictims(unit, [...chosen.keys()], victims, sparesVictims);
 }
--- a/src/decisions/room.ts
+++ b/src/decisions/resources.ts
@@ -1,48 +1,48 @@
 /** Arithmetic on capacity. */
 import type * as work from "../work/index";
 
-export interface MutableRoom {
+export interface MutableResources {
     cpuMillis: number;
     memoryMb: number;
     accelerators: number;
 }
 
-export function copyRoom(room: work.Room): MutableRoom {
+export function copyResources(room: work.Resources): MutableResources {
     return { cpuMillis: room.cpuMillis, memoryMb: room.memoryMb, accelerators: room.accelerators };
 }
 
-export function addRoom(to: MutableRoom, room: work.Room, times = 1): void {
+export function addResources(to: MutableResources, room: work.Resources, times = 1): void {
     to.cpuMillis += room.cpuMillis * times;
     to.memoryMb += room.memoryMb * times;
     to.accelerators += room.accelerators * times;
 }
 
-export function takeRoom(from: MutableRoom, room: work.Room, times = 1): void {
-    addRoom(from, room, -times);
+export function subtractResources(from: MutableResources, room: work.Resources, times = 1): void {
+    addResources(from, room, -times);
 }
 
 /** Lowers each dimension of `room` to at most that of `bound`. */
-export function capRoom(room: MutableRoom, bound: work.Room): void {
+export function capResources(room: MutableResources, bound: work.Resources): void {
     room.cpuMillis = Math.min(room.cpuMillis, bound.cpuMillis);
     room.memoryMb = Math.min(room.memoryMb, bound.memoryMb);
     room.accelerators = Math.min(room.accelerators, bound.accelerators);
 }
 
 /** Whether that much is no more than the capacity, in each kind. */
-export function isWithin(used: work.Room, capacity: work.Room): boolean {
+export function fitsWithin(used: work.Resources, capacity: work.Resources): boolean {
     return used.cpuMillis <= capacity.cpuMillis && used.memoryMb <= capacity.memoryMb
         && used.accelerators <= capacity.accelerators;
 }
 
 /** Leaves no room for anything, also not for what needs none of one kind. */
-export function closeRoom(room: MutableRoom): void {
+export function blockResources(room: MutableResources): void {
     room.cpuMillis = Math.min(room.cpuMillis, -1);
     room.memoryMb = Math.min(room.memoryMb, -1);
     room.accelerators = Math.min(room.accelerators, -1);
 }
 
 /** Equal for equal amounts. */
-export function getRoomKey(room: work.Room): string {
+export function getResourcesKey(room: work.Resources): string {
     let key = keys.get(room);
     if (key === undefined) {
         key = `${room.cpuMillis}/${room.memoryMb}/${room.accelerators}`;
@@ -52,10 +52,10 @@
 }
 
 /** The needs of a step are one object, which is asked for again in each pass. */
-const keys = new WeakMap<work.Room, string>();
+const keys = new WeakMap<work.Resources, string>();
 
 /** How many tasks with these needs fit. */
-export function countFits(room: work.Room, needs: work.Room): number {
+export function countFits(room: work.Resources, needs: work.Resources): number {
     return Math.max(
         0,
         Math.min(
@@ -78,7 +78,7 @@
  * Core-equivalents of a task, by which lost work is weighed.
  * An accelerator counts as eight cores, as the users price it.
  */
-export function getCoreEquivalents(needs: work.Room): number {
+export function getCoreEquivalents(needs: work.Resources): number {
     return needs.cpuMillis / 1_000 + CORES_PER_ACCELERATOR * needs.accelerators;
 }
 
--- a/src/decisions/speed.ts
+++ b/src/decisions/speed.ts
@@ -7,7 +7,7 @@
  * step: of twenty the fastest differ from the slowest by a factor of three.
  */
 
-export interface SpeedTrack {
+export interface SpeedHistory {
     sampledPercent: number;
     /** `undefined` until the first sample. */
     sampledAt: number | undefined;
@@ -29,12 +29,12 @@
 /** A move that gains less than this is not worth the work that it throws away. */
 const LEAST_GAIN_MS = 800;
 
-export function createSpeedTrack(): SpeedTrack {
+export function createSpeedHistory(): SpeedHistory {
     return { sampledPercent: 0, sampledAt: undefined, recentRate: undefined, bestRate: 0 };
 }
 
 /** Takes note of what the worker tells. The first percent that is told may come from an earlier run. */
-export function takeSample(track: SpeedTrack, percent: number, now: number): void {
+export function recordProgress(track: SpeedHistory, percent: number, now: number): void {
     if (percent <= 0 || percent >= 100) {
         return;
     }
@@ -57,7 +57,7 @@
 }
 
 /** How many times slower than at its best the task goes; `undefined` until two rates can be compared. */
-export function getSlowdown({ bestRate, recentRate }: SpeedTrack): number | undefined {
+export function getSlowdown({ bestRate, recentRate }: SpeedHistory): number | undefined {
     return bestRate > 0 && recentRate !== undefined
         ? bestRate / Math.max(recentRate, bestRate / MOST_SLOWDOWN)
         : undefined;
@@ -66,7 +66,7 @@
 /** Stands for any larger figure: a task that stands still is another matter. */
 const MOST_SLOWDOWN = 100;
 
-export function isSlow(slowdowns: readonly number[]): boolean {
+export function isWorkerSlow(slowdowns: readonly number[]): boolean {
     if (slowdowns.length === 0) {
         return false;
     }
@@ -80,7 +80,7 @@
     readonly bestRate: number;
     readonly recentRate: number | undefined;
     /** Whether it goes on elsewhere from where it was stopped. */
-    readonly saves: boolean;
+    readonly checkpoints: boolean;
 }
 
 /** Time until the task ends, in milliseconds. */
@@ -99,6 +99,6 @@
     const left = 100 - input.percent;
     const inSpell = input.recentRate * SPELL_MS;
     const stayMs = inSpell >= left ? left / input.recentRate : SPELL_MS + (left - inSpell) / input.bestRate;
-    const moveMs = RESTART_MS + (input.saves ? left : 100) / input.bestRate;
+    const moveMs = RESTART_MS + (input.checkpoints ? left : 100) / input.bestRate;
     return stayMs - moveMs >= LEAST_GAIN_MS ? { stayMs, moveMs } : undefined;
 }
--- a/src/decisions/stopCost.ts
+++ b/src/decisions/stopCost.ts
@@ -23,7 +23,7 @@
 }
 
 /** Work that was stopped for urgent work rests for what urgent jobs take on average: the next one takes its room. */
-export const REST_MS = 2_000;
+export const PREEMPTION_BACKOFF_MS = 2_000;
 /** Of a job that ends late for the stop, by priority, in core-seconds of thrown away work. */
 const LATENESS_CORE_SECONDS: readonly number[] = [1_500, 1_000, 330];
 /** Of each earlier stop, beside counting all else once more. */
@@ -36,8 +36,11 @@
 
 function getLatenessCost({ urgency, elapsedMs, unsavedMs }: StopCostInput): number {
     const remainingMs = urgency.remainingMs - elapsedMs;
-    const kept = order.getProspect({ ...urgency, remainingMs });
-    const stopped = order.getProspect({ ...urgency, remainingMs: remainingMs + unsavedMs + REST_MS });
+    const kept = order.getLatenessClass({ ...urgency, remainingMs });
+    const stopped = order.getLatenessClass({
+        ...urgency,
+        remainingMs: remainingMs + unsavedMs + PREEMPTION_BACKOFF_MS,
+    });
     return stopped > kept ? getLateness(urgency.priority) : 0;
 }
 
@@ -47,9 +50,9 @@
  * Without this condition every urgent task that would end sooner elsewhere is moved, which serves nobody better and throws
  * away more work.
  */
-export function paysToMove(urgency: order.Urgency, times: speed.MoveTimes, lossCoreSeconds: number): boolean {
-    const stays = order.getProspect({ ...urgency, remainingMs: times.stayMs });
-    const moves = order.getProspect({ ...urgency, remainingMs: times.moveMs });
+export function isMoveWorthwhile(urgency: order.Urgency, times: speed.MoveTimes, lossCoreSeconds: number): boolean {
+    const stays = order.getLatenessClass({ ...urgency, remainingMs: times.stayMs });
+    const moves = order.getLatenessClass({ ...urgency, remainingMs: times.moveMs });
     return moves < stays && lossCoreSeconds < getLateness(urgency.priority);
 }
 
--- a/src/decisions/types.ts
+++ b/src/decisions/types.ts
@@ -4,11 +4,11 @@
 
 /** The tasks of a worker, by how long they have run. */
 export const Company = {
-    None: 0,
+    Idle: 0,
     /** All have been at work for a while. */
-    Settled: 1,
+    Stable: 1,
     /** One has just begun. */
-    Unsettled: 2,
+    RecentStart: 2,
 } as const;
 export type Company = typeof Company[keyof typeof Company];
 
@@ -18,15 +18,15 @@
     readonly service: string;
     readonly rack: string;
     readonly labels: readonly string[];
-    readonly capacity: work.Room;
+    readonly capacity: work.Resources;
     /** Taken by all tasks that run, may run, or are being stopped there. */
-    readonly used: work.Room;
+    readonly used: work.Resources;
     /** The part of `used` that becomes free within the stop time, without any further order. */
-    readonly freeing: work.Room;
+    readonly releasing: work.Resources;
     /** Tasks there that serve users of their own, and tasks that fill what the others leave over. */
-    readonly serving: number;
-    readonly filling: number;
-    readonly company: Company;
+    readonly latencySensitiveTasks: number;
+    readonly bestEffortTasks: number;
+    readonly occupancy: Company;
 }
 
 /** How strong a claim to room is: a stronger one may stop what runs on a weaker one. */
@@ -43,7 +43,7 @@
 export type Claim = typeof Claim[keyof typeof Claim];
 
 /** How lines and figures call a claim. */
-export const CLAIM_NAMES = { 0: "none", 1: "urgent", 2: "lasting", 3: "guaranteed" } as const satisfies Readonly<
+export const TIER_NAMES = { 0: "none", 1: "urgent", 2: "lasting", 3: "guaranteed" } as const satisfies Readonly<
     Record<Claim, string>
 >;
 
@@ -51,12 +51,12 @@
 export interface WaitingUnit {
     readonly key: string;
     /** Units of one family are alike: when one has found no place, the others of the pass need not be tried. */
-    readonly family: string;
+    readonly equivalenceClass: string;
     /** The step, within one occurrence, whose tasks `maxPerWorker` bounds. */
     readonly step: string;
     readonly service: string;
     /** Needs of one member. */
-    readonly needs: work.Room;
+    readonly needs: work.Resources;
     readonly count: number;
     readonly gang: boolean;
     readonly sameRack: boolean;
@@ -65,49 +65,49 @@
     readonly maxPerWorker: number;
     /** Tasks of the step on each worker, where `maxPerWorker` bounds them. */
     readonly stepTasksByWorker?: ReadonlyMap<string, number>;
-    readonly claim: Claim;
+    readonly tier: Claim;
     /** Serves users of its own, whose response times suffer from tasks that fill. */
-    readonly serves: boolean;
+    readonly latencySensitive: boolean;
     /** Takes only processor time that others leave over. */
-    readonly fills: boolean;
+    readonly bestEffort: boolean;
     /** Has taken a worker down, as far as is known: it is kept apart from other work. */
-    readonly suspect: boolean;
+    readonly mayCrashWorker: boolean;
     /** Workers on which the unit failed before. */
-    readonly avoided: ReadonlySet<string>;
+    readonly excludedWorkerIds: ReadonlySet<string>;
     /** Where set, only these workers may run the unit. */
-    readonly allowed?: ReadonlySet<string>;
+    readonly allowedWorkerIds?: ReadonlySet<string>;
     readonly waitedMs: number;
-    readonly expectedMs: number;
+    readonly expectedDurationMs: number;
 }
 
 /** Tasks that are stopped together: one task, or all of a gang. */
 export interface RunningGroup {
     readonly key: string;
-    readonly claim: Claim;
-    readonly members: ReadonlyArray<{ readonly workerId: string; readonly needs: work.Room; }>;
+    readonly tier: Claim;
+    readonly members: ReadonlyArray<{ readonly workerId: string; readonly needs: work.Resources; }>;
     /** Core-seconds of work that a stop throws away. */
     readonly lossCoreSeconds: number;
     /** What a stop costs in all: the work thrown away, and the worth of a job that ends late for it. */
     readonly costCoreSeconds: number;
     /** Set for a lasting task at work whose step may miss only some of its tasks at a time. */
-    readonly protection?: Protection;
+    readonly disruptionBudget?: DisruptionBudget;
 }
 
 /** How many tasks of a lasting step may be taken from their work. */
-export interface Protection {
+export interface DisruptionBudget {
     readonly step: string;
     /** Beside those that are away now. */
-    readonly mayStop: number;
+    readonly allowedDisruptions: number;
 }
 
 export interface PlanInput {
     readonly now: number;
-    readonly leftOut?: ReadonlySet<mechanism.Mechanism>;
+    readonly disabledMechanisms?: ReadonlySet<mechanism.Mechanism>;
     readonly workers: readonly PlaceableWorker[];
     /** In the order in which they are to be served. */
     readonly units: readonly WaitingUnit[];
     /** Asked for only in a pass that has to stop something: on a large site it is most of the input. */
-    getGroups(): readonly RunningGroup[];
+    getRunningGroups(): readonly RunningGroup[];
 }
 
 export interface PlannedStart {
@@ -120,7 +120,7 @@
     readonly group: RunningGroup;
     /** The unit that gets the room, and its claim to it. */
     readonly forUnit: string;
-    readonly claim: Claim;
+    readonly tier: Claim;
 }
 
 export interface Plan {
--- a/src/emulator/randomJob.ts
+++ b/src/emulator/randomJob.ts
@@ -7,7 +7,7 @@
 export function createRandomJob(source: random.Random, number: number): jobModel.EmulatedJob {
     const gang = source.nextInt(3) === 0;
     const steps = Array.from({ length: 1 + source.nextInt(2) }, (_, step): work.StepSpec => ({
-        ...work.PLAIN_STEP,
+        ...work.DEFAULT_STEP,
         count: 1 + source.nextInt(4),
         needs: { cpuMillis: 1_000, memoryMb: 1_000, accelerators: 1 + source.nextInt(4) },
         estimateMs: 500 + source.nextInt(6_000),
--- a/src/emulator/startChecks.ts
+++ b/src/emulator/startChecks.ts
@@ -82,11 +82,11 @@
         }
     };
     const checkCapacity = (life: workerLife.Life, start: StartRecord, sentAt: number) => {
-        const sum: work.Room = workerLife.sumNeeds(life);
-        if (decisions.isWithin(sum, workerLife.getCapacitySince(life, sentAt - SHRINK_GRACE_MS))) {
+        const sum: work.Resources = workerLife.sumNeeds(life);
+        if (decisions.fitsWithin(sum, workerLife.getCapacitySince(life, sentAt - SHRINK_GRACE_MS))) {
             return;
         }
-        const fitted = life.earlierCapacities.some(({ capacity }) => decisions.isWithin(sum, capacity));
+        const fitted = life.earlierCapacities.some(({ capacity }) => decisions.fitsWithin(sum, capacity));
         if (fitted) {
             shrunkStarts.push(start);
             return;
--- a/src/emulator/workerLife.ts
+++ b/src/emulator/workerLife.ts
@@ -7,7 +7,7 @@
 
 /** What an emulated task really does. */
 export interface TaskModel {
-    readonly needs: work.Room;
+    readonly needs: work.Resources;
     readonly durationMs: number;
     /** Members of its gang; 1: none. */
     readonly gangSize: number;
@@ -60,7 +60,7 @@
     /** Ends up to this number were listed when the worker's lease lapsed last. */
     lapsedEnd: number;
     /** Capacities that it had before, each with the time at which it was changed. */
-    readonly earlierCapacities: Array<{ readonly capacity: work.Room; readonly until: number; }>;
+    readonly earlierCapacities: Array<{ readonly capacity: work.Resources; readonly until: number; }>;
     /** Another life has begun at its address. */
     succeeded: boolean;
 }
@@ -71,7 +71,7 @@
 }
 
 /** The capacity that starts may still count on: the largest since that time, in each dimension. */
-export function getCapacitySince(life: Life, since: number): work.Room {
+export function getCapacitySince(life: Life, since: number): work.Resources {
     const counted = life.earlierCapacities.filter(entry => entry.until >= since).map(entry => entry.capacity);
     return [life.info.capacity, ...counted].reduce((largest, capacity) => ({
         cpuMillis: Math.max(largest.cpuMillis, capacity.cpuMillis),
@@ -81,7 +81,7 @@
 }
 
 /** What its tasks take of a worker's capacity. */
-export function sumNeeds(life: Life): work.Room {
+export function sumNeeds(life: Life): work.Resources {
     const sum = { cpuMillis: 0, memoryMb: 0, accelerators: 0 };
     for (const running of life.runs.values()) {
         sum.cpuMillis += running.model.needs.cpuMillis;
--- a/src/emulator/workers.ts
+++ b/src/emulator/workers.ts
@@ -33,7 +33,7 @@
     /** Begins another life under the id of one that is over, or that this ends. */
     restart(id: string): void;
     /** Changes the worker's capacity; the directory tells of it later. */
-    resize(id: string, capacity: work.Room): void;
+    resize(id: string, capacity: work.Resources): void;
     /** Ends the worker's life; `listed` says whether the directory still shows it. */
     kill(id: string, listed: boolean): void;
     drain(id: string, remainingMs: number): void;
@@ -48,7 +48,7 @@
     /** Names of all tasks that run, or are being stopped, anywhere. */
     getRunningTasks(): readonly string[];
     /** What the tasks there take of the worker's capacity; `undefined` once its life is over. */
-    getUsed(id: string): work.Room | undefined;
+    getUsed(id: string): work.Resources | undefined;
     /** Breaches of promises, in words, but for `shrunkStarts`; empty when all were kept. */
     readonly breaches: readonly string[];
     readonly starts: readonly startChecks.StartRecord[];
--- a/src/experiment/batch.ts
+++ b/src/experiment/batch.ts
@@ -26,7 +26,7 @@
 }
 
 export async function playTask({ seed, size, variant, hazards }: BatchTask): Promise<BatchResult> {
-    const policy = decisions.leaveOut(decisions.POLICIES[variant.policy], variant.leftOut);
+    const policy = decisions.disableMechanisms(decisions.POLICIES[variant.policy], variant.leftOut);
     const drawn = drawnLoad.drawLoad(seed, size);
     const load = hazards ? drawnLoad.addHazards(drawn, seed) : drawn;
     const played = await play.play({ load, seed, policy });
--- a/src/experiment/drawnLoad.ts
+++ b/src/experiment/drawnLoad.ts
@@ -32,7 +32,7 @@
     const whole = ([least, most]: readonly [number, number]) => Math.round(betweenByRatio(least, most));
     const workers = whole(SIZES[size].workers);
     const zones = 2 + source.nextInt(4);
-    const capacity: work.Room = {
+    const capacity: work.Resources = {
         cpuMillis: 1_000 * source.pick([16, 32, 64, 128]),
         memoryMb: 1_024 * source.pick([64, 128, 256]),
         accelerators: source.pick([4, 8, 8, 16]),
@@ -123,7 +123,7 @@
 /** Urgent work is a smaller part of the whole than what it may stop. */
 const DEMAND_BY_PRIORITY: readonly number[] = [0.5, 1, 1];
 
-function drawClass(name: string, priority: number, capacity: work.Room, source: random.Random): loads.JobClass {
+function drawClass(name: string, priority: number, capacity: work.Resources, source: random.Random): loads.JobClass {
     const between = (least: number, most: number) => least + (most - least) * source.nextFloat();
     const urgent = priority === 0;
     const duration = urgent ? between(1_000, 5_000) : between(4_000, 14_000);
--- a/src/experiment/generate.ts
+++ b/src/experiment/generate.ts
@@ -70,7 +70,7 @@
 ): PlannedJob {
     const has = (share: number) => source.nextFloat() < share;
     const gang = has(item.gangs);
-    const needs: work.Room = { ...item.needs, accelerators: source.pick(item.accelerators) };
+    const needs: work.Resources = { ...item.needs, accelerators: source.pick(item.accelerators) };
     const checkpoints = has(item.saves);
     const sameRack = gang && has(item.sameRack);
     const dataRack = has(item.nearData) ? getRackName(source.nextInt(load.workers), load) : undefined;
@@ -82,7 +82,7 @@
     );
     const unevenness = durationsMs.map(() => Array.from({ length: count }, () => drawUnevenness(item, source)));
     const steps = durationsMs.map((durationMs, index): work.StepSpec => ({
-        ...work.PLAIN_STEP,
+        ...work.DEFAULT_STEP,
         count,
         needs,
         estimateMs: Math.round(durationMs * drawEstimate(item, source)),
@@ -139,7 +139,7 @@
 }
 
 /** A gang must fit into a third of the site. */
-function limitWidth(load: loads.Load, needs: work.Room, width: number, gang: boolean): number {
+function limitWidth(load: loads.Load, needs: work.Resources, width: number, gang: boolean): number {
     const perWorker = Math.max(
         1,
         Math.min(
--- a/src/experiment/load.ts
+++ b/src/experiment/load.ts
@@ -21,7 +21,7 @@
     readonly width: Spread;
     /** Steps, each after the one before. */
     readonly steps: Spread;
-    readonly needs: Omit<work.Room, "accelerators">;
+    readonly needs: Omit<work.Resources, "accelerators">;
     /** A job takes one of these for each of its tasks. */
     readonly accelerators: readonly number[];
     /** Shares of the jobs. */
@@ -89,7 +89,7 @@
     readonly instances: number;
     /** Share of the jobs that each zone's callers hand in; without it all the same. */
     readonly zoneShares?: readonly number[];
-    readonly capacity: work.Room;
+    readonly capacity: work.Resources;
     readonly accounts: number;
     /** Each account sends this share of what the one before it sends; 1: all the same. */
     readonly skew: number;
--- a/src/experiment/troubles.ts
+++ b/src/experiment/troubles.ts
@@ -154,7 +154,7 @@
     }
 }
 
-function shrink(capacity: work.Room, left: number): work.Room {
+function shrink(capacity: work.Resources, left: number): work.Resources {
     return {
         cpuMillis: Math.floor(capacity.cpuMillis * left),
         memoryMb: Math.floor(capacity.memoryMb * left),
--- a/src/intake/__tests__/intake.test.ts
+++ b/src/intake/__tests__/intake.test.ts
@@ -169,7 +169,7 @@
     // Symptom: every leader ends as it reads the jobs. Sequence: a caller hands in a job of a billion tasks, and it is
     // accepted. Cause: only the length of a body was bounded.
     const needs = { cpuMillis: 1, memoryMb: 1, accelerators: 0 };
-    const step: work.StepSpec = { ...work.PLAIN_STEP, count: 1, needs, estimateMs: 1 };
+    const step: work.StepSpec = { ...work.DEFAULT_STEP, count: 1, needs, estimateMs: 1 };
     const cases: ReadonlyArray<readonly [name: string, spec: work.JobSpec]> = [
         ["with more tasks than can be stored", { ...SPEC, steps: [{ ...step, count: 1e9 }] }],
         ["with a spec longer than a row", { ...SPEC, steps: Array.from({ length: 600 }, () => step) }],
--- a/src/intake/intake.ts
+++ b/src/intake/intake.ts
@@ -197,7 +197,7 @@
     const findObstacle = (spec: work.JobSpec, value: string): IntakeReply | undefined => {
         const rowBytes = options.getMaxRowBytes();
         const bytes = Buffer.byteLength(value);
-        const reason = work.findExcess(spec, rowBytes)
+        const reason = work.findExceededLimit(spec, rowBytes)
             ?? (bytes > rowBytes ? `${bytes} bytes, more than the ${rowBytes} of a row` : undefined);
         return reason === undefined ? undefined : { kind: "impossible", reason };
     };
--- a/src/leader/__tests__/fixtures.ts
+++ b/src/leader/__tests__/fixtures.ts
@@ -25,7 +25,7 @@
 
 /** A job of one task; `step` goes to its step. */
 export function createSubmission(jobId: string, step: Partial<work.StepSpec> = {}): work.Submission {
-    const spec = { ...work.PLAIN_STEP, count: 1, needs: work.EMPTY_ROOM, estimateMs: 1_000, ...step };
+    const spec = { ...work.DEFAULT_STEP, count: 1, needs: work.NO_RESOURCES, estimateMs: 1_000, ...step };
     return {
         jobId,
         queue: QUEUE,
--- a/src/leader/__tests__/orders.test.ts
+++ b/src/leader/__tests__/orders.test.ts
@@ -72,7 +72,7 @@
                 getSession: () => session as workerSession.WorkerSession,
                 mayOrder: () => true,
                 mayStart: () => mayStart,
-                leftOut: new Set(),
+                disabledMechanisms: new Set(),
             });
             ordersOfTerm.start([{ task, run: 1 }]);
             await time.advance(10);
--- a/src/leader/__tests__/progressWriter.test.ts
+++ b/src/leader/__tests__/progressWriter.test.ts
@@ -30,7 +30,7 @@
         needsKey: true,
     };
     const needs = { cpuMillis: 1, memoryMb: 1, accelerators: 0 };
-    const steps = tasks > 0 ? [{ ...work.PLAIN_STEP, count: tasks, needs, estimateMs: 1 }] : [];
+    const steps = tasks > 0 ? [{ ...work.DEFAULT_STEP, count: tasks, needs, estimateMs: 1 }] : [];
     const spec: work.JobSpec = { payload: "", steps, repeats: 0, firstDueAt: 0, periodMs: 0 };
     const job = entries.createJobEntry({ jobId, queue, account: "a", acceptedAt: 0, spec }, queue, 0);
     const occurrence = entries.createOccurrenceEntry(job, 0, 0);
@@ -42,7 +42,7 @@
     return occurrence;
 }
 
-const GUARD = { table: work.Table.Lead, part: work.LEADER_PART, key: "token", version: 7 };
+const GUARD = { table: work.Table.LeaderLease, part: work.LEADER_PART, key: "token", version: 7 };
 
 function open() {
     const time = clocks.createManualClock();
--- a/src/leader/__tests__/renewals.test.ts
+++ b/src/leader/__tests__/renewals.test.ts
@@ -25,7 +25,7 @@
         clock,
         log: { info: () => {}, warn: () => {}, error: () => {} },
         guard: GUARD,
-        sentAt: clocks.readMoment(clock),
+        sentAt: clocks.getTimestamp(clock),
         createRow: leaseMs => ({ ...LEASE, value: String(leaseMs) }),
         onRenewed: () => {},
         onDeposed: reason => deposed.push(reason),
--- a/src/leader/__tests__/upkeepRows.test.ts
+++ b/src/leader/__tests__/upkeepRows.test.ts
@@ -36,7 +36,7 @@
                 log: { info: () => {}, warn: () => {}, error: () => {} },
                 token: 1,
                 guard: { ...tokenKey, version: 1 },
-                sentAt: clocks.readMoment(time),
+                sentAt: clocks.getTimestamp(time),
                 othersSilentAt: 0,
                 createRow: () => ({ ...tokenKey, key: "lease", value: "" }),
                 onRenewed: () => {},
--- a/src/leader/advice.ts
+++ b/src/leader/advice.ts
@@ -71,7 +71,7 @@
             const now = options.clock.now();
             for (const { unit, tasks } of waiting) {
                 const step = tasks[0]!.step;
-                if (!unit.allowed || asking.has(unit.step) || hasUsableRoom(unit, placeable)) {
+                if (!unit.allowedWorkerIds || asking.has(unit.step) || hasUsableRoom(unit, placeable)) {
                     continue;
                 }
                 const bad = refused.get(step);
@@ -98,9 +98,9 @@
 function hasUsableRoom(unit: decisions.WaitingUnit, placeable: readonly entries.WorkerEntry[]): boolean {
     let members = 0;
     for (const worker of placeable) {
-        if (unit.allowed!.has(worker.id) && !unit.avoided.has(worker.id)) {
-            const room = decisions.copyRoom(worker.info.capacity);
-            decisions.takeRoom(room, worker.used);
+        if (unit.allowedWorkerIds!.has(worker.id) && !unit.excludedWorkerIds.has(worker.id)) {
+            const room = decisions.copyResources(worker.info.capacity);
+            decisions.subtractResources(room, worker.used);
             members += decisions.countFits(room, unit.needs);
         }
     }
--- a/src/leader/book.ts
+++ b/src/leader/book.ts
@@ -106,7 +106,7 @@
         listener,
         getExpected: options.getExpected,
         expectRun: options.expectRun,
-        leftOut: options.leftOut,
+        disabledMechanisms: options.leftOut,
         onJobEnded: job => active.delete(job),
         stopOccurrence: stopAll,
     });
@@ -271,7 +271,7 @@
                 task.stopAcceptedAt = undefined;
                 task.percent = 0;
                 task.inherited = false;
-                task.speed = decisions.createSpeedTrack();
+                task.speed = decisions.createSpeedHistory();
                 task.pacePercent = 100;
                 entries.assign(task, workers[index]!);
             });
@@ -357,7 +357,7 @@
                 countThrownAway(task, wasStopping ? thrownAways.getCause(task.stopReason) : end.how);
             }
             if (wasStopping && task.stopReason.startsWith("preempted")) {
-                task.backoffUntil = options.leftOut.has("rests") ? 0 : time.now() + decisions.REST_MS;
+                task.backoffUntil = options.leftOut.has("rests") ? 0 : time.now() + decisions.PREEMPTION_BACKOFF_MS;
                 task.preemptions++;
             }
             toWaiting(task);
@@ -386,7 +386,7 @@
                 crashHistory.recordRunTime(task.crashes, entries.getObservedMs(task));
             }
             task.worker?.unconfirmedStarts.delete(task.name);
-            decisions.takeSample(task.speed, told.percent, time.now());
+            decisions.recordProgress(task.speed, told.percent, time.now());
             if (task.phase === "ordered") {
                 book.confirmRunning(task);
             }
--- a/src/leader/entries.ts
+++ b/src/leader/entries.ts
@@ -46,7 +46,7 @@
     /** An earlier leader ordered the current run: when it began is not known. */
     inherited: boolean;
     /** How fast the current run goes. */
-    speed: decisions.SpeedTrack;
+    speed: decisions.SpeedHistory;
     /** How often it was stopped because it made no progress. */
     stalls: number;
     /** How often it was stopped for urgent work. */
@@ -66,7 +66,7 @@
     readonly occurrence: OccurrenceEntry;
     readonly number: number;
     readonly spec: work.StepSpec;
-    readonly needs: work.Room;
+    readonly needs: work.Resources;
     readonly tasks: TaskEntry[];
     doneCount: number;
     /** Latest run of a gang that was counted as failed: its other members' ends must not count again. */
@@ -113,7 +113,7 @@
     readonly service: string;
     readonly rack: string;
     readonly labels: readonly string[];
-    readonly capacity: work.Room;
+    readonly capacity: work.Resources;
     readonly draining: boolean;
     /** While draining: the least time that is left. */
     readonly remainingMs: number;
@@ -142,7 +142,7 @@
     /** When the directory first said that it drains. */
     drainingSince: number | undefined;
     readonly tasks: Set<TaskEntry>;
-    readonly used: decisions.MutableRoom;
+    readonly used: decisions.MutableResources;
     /** Tasks that run there without our knowledge; none is started until they are gone. */
     unknownRunCount: number;
     /** Starts that got no answer, by task: the run of each. They may be carried out late, also by the next life. */
@@ -180,7 +180,7 @@
             occurrence,
             number: stepNumber,
             spec,
-            needs: work.getCountedNeeds(spec),
+            needs: work.getReservedResources(spec),
             tasks: [],
             doneCount: 0,
             lastFailedRun: 0,
@@ -218,7 +218,7 @@
         lastProgressAt: 0,
         lastReportAt: 0,
         inherited: false,
-        speed: decisions.createSpeedTrack(),
+        speed: decisions.createSpeedHistory(),
         stalls: 0,
         preemptions: 0,
         recentFigure: 0,
@@ -244,7 +244,7 @@
         reserved: false,
         drainingSince: undefined,
         tasks: new Set(),
-        used: decisions.copyRoom(work.EMPTY_ROOM),
+        used: decisions.copyResources(work.NO_RESOURCES),
         unknownRunCount: 0,
         unconfirmedStarts: new Map(),
         consecutiveFailures: 0,
@@ -255,7 +255,7 @@
 export function assign(task: TaskEntry, worker: WorkerEntry): void {
     task.worker = worker;
     worker.tasks.add(task);
-    decisions.addRoom(worker.used, task.step.needs);
+    decisions.addResources(worker.used, task.step.needs);
 }
 
 /** The task's run is over, or never was: its room is free. */
@@ -266,7 +266,7 @@
     }
     task.worker = undefined;
     worker.tasks.delete(task);
-    decisions.takeRoom(worker.used, task.step.needs);
+    decisions.subtractResources(worker.used, task.step.needs);
 }
 
 export function isStepDone(step: StepEntry): boolean {
@@ -282,7 +282,7 @@
         service: "",
         rack: "",
         labels: [],
-        capacity: work.EMPTY_ROOM,
+        capacity: work.NO_RESOURCES,
         draining: false,
         remainingMs: 0,
     };
--- a/src/leader/execution.ts
+++ b/src/leader/execution.ts
@@ -41,7 +41,7 @@
 
 function stopGroup({ book, log, meter }: ExecutionOptions, { groups }: PlannedPass, stop: decisions.PlannedStop): void {
     const { group, forUnit } = stop;
-    const claim = decisions.CLAIM_NAMES[stop.claim];
+    const claim = decisions.TIER_NAMES[stop.tier];
     const tasks = groups.get(group.key)?.tasks ?? [];
     const queue = tasks[0]?.step.occurrence.job.queue.name ?? "";
     log.info("preempting", { group: group.key, forUnit, claim, lossCoreSeconds: Math.round(group.lossCoreSeconds) });
@@ -61,7 +61,7 @@
         run: tasks[0]!.run,
         workers: [...new Set(workerIds)],
         waitedMs: Math.round(unit.waitedMs),
-        claim: unit.claim,
+        claim: unit.tier,
     });
     meter.record("placement_wait_ms", { queue: tasks[0]!.step.occurrence.job.queue.name }, unit.waitedMs);
     return tasks.map(task => ({ task, run: task.run }));
--- a/src/leader/failingWorkers.ts
+++ b/src/leader/failingWorkers.ts
@@ -26,7 +26,7 @@
 
 export interface FailingWorkerOptions {
     readonly now: number;
-    readonly leftOut: ReadonlySet<decisions.Mechanism>;
+    readonly disabledMechanisms: ReadonlySet<decisions.Mechanism>;
     readonly log: observe.Log;
 }
 
@@ -35,7 +35,7 @@
     worker: entries.WorkerEntry,
     task: entries.TaskEntry,
     expectedMs: number,
-    { now, leftOut }: Omit<FailingWorkerOptions, "log">,
+    { now, disabledMechanisms: leftOut }: Omit<FailingWorkerOptions, "log">,
 ): void {
     const { step } = task;
     const ranMs = now - Math.max(task.orderedAt, task.runningSince);
@@ -55,7 +55,10 @@
 }
 
 /** Sets aside a worker that is to blame. */
-export function quarantineIfFailing(worker: entries.WorkerEntry, { now, leftOut, log }: FailingWorkerOptions): void {
+export function quarantineIfFailing(
+    worker: entries.WorkerEntry,
+    { now, disabledMechanisms: leftOut, log }: FailingWorkerOptions,
+): void {
     if (worker.consecutiveFailures < SUSPECT_FAILURES || leftOut.has("failingWorkers")) {
         return;
     }
--- a/src/leader/handover.ts
+++ b/src/leader/handover.ts
@@ -87,7 +87,7 @@
         return strongestFirst[0]?.candidate;
     };
     const canRead = async () => {
-        const lead = { table: work.Table.Lead, part: work.LEADER_PART, limit: 1 };
+        const lead = { table: work.Table.LeaderLease, part: work.LEADER_PART, limit: 1 };
         return (await options.store.read(lead, READ_TIMEOUT_MS)).kind === "read";
     };
     const isDoubtful = () => options.isStoreAway() || held.isRenewalLate();
--- a/src/leader/lease.ts
+++ b/src/leader/lease.ts
@@ -121,7 +121,7 @@
         clock: time,
         log,
         meter: options.meter,
-        table: work.Table.Lead,
+        table: work.Table.LeaderLease,
         part: work.LEADER_PART,
         signal: options.signal,
         onSnapshot: all => {
@@ -227,9 +227,9 @@
         if (observed && !isHolderOver(observed) && !await isStillUnchanged()) {
             return;
         }
-        const sentAt = clock.readMoment(time);
+        const sentAt = clock.getTimestamp(time);
         const token = (observed?.record.token ?? 0) + 1;
-        const othersSilentAt = getOthersSilentAt(sentAt.monotonic);
+        const othersSilentAt = getOthersSilentAt(sentAt.monotonicMs);
         const record = createRecord(token, othersSilentAt);
         const wasReleased = observed?.record.holder === "";
         const outcome = await options.store.transact({
@@ -248,7 +248,7 @@
         log.info("leadershipTaken", { token, released: wasReleased });
         options.onElected(term.leadership);
     };
-    const openTerm = (token: number, version: number, sentAt: clock.Moment, othersSilentAt: number) => {
+    const openTerm = (token: number, version: number, sentAt: clock.Timestamp, othersSilentAt: number) => {
         const held: heldLease.HeldLease = heldLease.createHeldLease(time, {
             log,
             token,
--- a/src/leader/leaseRecord.ts
+++ b/src/leader/leaseRecord.ts
@@ -28,7 +28,7 @@
     readonly othersWait?: boolean;
 }
 
-export const LEASE_KEY: rows.RowKey = { table: work.Table.Lead, part: work.LEADER_PART, key: "lease" };
+export const LEASE_KEY: rows.RowKey = { table: work.Table.LeaderLease, part: work.LEADER_PART, key: "lease" };
 export const TOKEN_KEY: rows.RowKey = { ...LEASE_KEY, key: "token" };
 /** Holds the lease's row alone. */
 export const LEASE_RANGE: rows.RowRange = {
--- a/src/leader/orders.ts
+++ b/src/leader/orders.ts
@@ -20,7 +20,7 @@
     mayOrder(): boolean;
     /** Whether what was placed on the worker may still be started there. */
     mayStart(worker: entries.WorkerEntry): boolean;
-    readonly leftOut: ReadonlySet<decisions.Mechanism>;
+    readonly disabledMechanisms: ReadonlySet<decisions.Mechanism>;
 }
 
 /** A task and the run for which its row is stored; by the time of the order it may be placed anew. */
@@ -167,7 +167,7 @@
      */
     const settleUnanswered = async (task: entries.TaskEntry, worker: entries.WorkerEntry) => {
         const { run } = task;
-        if (options.leftOut.has("unansweredLooks")) {
+        if (options.disabledMechanisms.has("unansweredLooks")) {
             taskBook.requestStop(task, "startUnanswered");
             return;
         }
--- a/src/leader/outcomes.ts
+++ b/src/leader/outcomes.ts
@@ -25,7 +25,7 @@
     getExpected(job: entries.JobEntry): ExpectedTimes;
     /** How long a run of the step's tasks is expected to take. */
     expectRun(step: entries.StepEntry): number;
-    readonly leftOut: ReadonlySet<decisions.Mechanism>;
+    readonly disabledMechanisms: ReadonlySet<decisions.Mechanism>;
     onJobEnded(job: entries.JobEntry): void;
     /** Stops what still runs of an occurrence that is over. */
     stopOccurrence(occurrence: entries.OccurrenceEntry, reason: string): void;
@@ -118,7 +118,10 @@
     const countFailure = (task: entries.TaskEntry, run: number, worker: entries.WorkerEntry) => {
         const { step } = task;
         if (!step.spec.lasting) {
-            blame.recordFailedRun(worker, task, options.expectRun(step), { now: time.now(), leftOut: options.leftOut });
+            blame.recordFailedRun(worker, task, options.expectRun(step), {
+                now: time.now(),
+                disabledMechanisms: options.disabledMechanisms,
+            });
         }
         if (step.spec.gang && step.lastFailedRun === run) {
             return;
--- a/src/leader/placeable.ts
+++ b/src/leader/placeable.ts
@@ -39,7 +39,7 @@
         mayStart: (worker, now) =>
             !worker.info.draining
             && (refusesOverload(worker)
-                || (decisions.isWithin(worker.used, worker.info.capacity)
+                || (decisions.fitsWithin(worker.used, worker.info.capacity)
                     && isReported(worker, now, options.capacityMs))),
     };
 }
--- a/src/leader/renewals.ts
+++ b/src/leader/renewals.ts
@@ -36,7 +36,7 @@
     /** Row of the term's fencing token: no write of the term succeeds once another leader has changed it. */
     readonly guard: rows.RowCondition;
     /** When the write that won the lease was sent. */
-    readonly sentAt: clock.Moment;
+    readonly sentAt: clock.Timestamp;
     /** The lease's row, for a lease of this length. */
     createRow(leaseMs: number): rows.RowPut;
     /** The row was written. */
@@ -64,7 +64,7 @@
 }
 
 interface SentRenewal {
-    readonly sentAt: clock.Moment;
+    readonly sentAt: clock.Timestamp;
     readonly leaseMs: number;
 }
 
@@ -75,9 +75,9 @@
     let renewed = first;
     let lastSent = first;
     const open = new Set<SentRenewal>();
-    let nextAt = first.sentAt.monotonic + RENEW_EVERY_MS;
+    let nextAt = first.sentAt.monotonicMs + RENEW_EVERY_MS;
     /** Of the latest call that was answered: when it was sent, and how long it took. */
-    let answeredSentAt = first.sentAt.monotonic;
+    let answeredSentAt = first.sentAt.monotonicMs;
     let answerMs = 0;
 
     const takeAnswer = (sentAt: number, outcome: rows.TransactResult) => {
@@ -91,7 +91,7 @@
      * later call was answered; then its answer is lost, and the store is not slow.
      */
     const getAnswerMs = () => {
-        const openSince = [...open].map(sent => sent.sentAt.monotonic).filter(sentAt => sentAt > answeredSentAt);
+        const openSince = [...open].map(sent => sent.sentAt.monotonicMs).filter(sentAt => sentAt > answeredSentAt);
         return Math.max(answerMs, ...openSince.map(sentAt => time.now() - sentAt));
     };
     /**
@@ -101,15 +101,15 @@
     const getLeaseMs = (now: number) => {
         const slowMs = getAnswerMs();
         const wantedMs = slowMs > USUAL_ANSWER_MS ? LEASE_MS + ANSWERS_IN_LEASE * slowMs : LEASE_MS;
-        const leftOfLastMs = lastSent.sentAt.monotonic + lastSent.leaseMs - now;
+        const leftOfLastMs = lastSent.sentAt.monotonicMs + lastSent.leaseMs - now;
         return Math.round(Math.max(Math.min(wantedMs, MOST_LEASE_MS), leftOfLastMs));
     };
     const begin = () => {
-        const sentAt = clock.readMoment(time);
-        const sent: SentRenewal = { sentAt, leaseMs: getLeaseMs(sentAt.monotonic) };
+        const sentAt = clock.getTimestamp(time);
+        const sent: SentRenewal = { sentAt, leaseMs: getLeaseMs(sentAt.monotonicMs) };
         open.add(sent);
         lastSent = sent;
-        nextAt = sentAt.monotonic + RENEW_EVERY_MS;
+        nextAt = sentAt.monotonicMs + RENEW_EVERY_MS;
         const cancelLate = time.setTimer(LATE_MS, options.onLate);
         const row = options.createRow(sent.leaseMs);
         return {
@@ -117,7 +117,7 @@
             settle: (outcome: rows.TransactResult) => {
                 cancelLate();
                 open.delete(sent);
-                takeAnswer(sent.sentAt.monotonic, outcome);
+                takeAnswer(sent.sentAt.monotonicMs, outcome);
                 settle(sent, row, outcome);
             },
         };
@@ -125,7 +125,7 @@
     const settle = (sent: SentRenewal, row: rows.RowPut, outcome: rows.TransactResult) => {
         switch (outcome.kind) {
             case "committed":
-                if (sent.sentAt.monotonic >= renewed.sentAt.monotonic) {
+                if (sent.sentAt.monotonicMs >= renewed.sentAt.monotonicMs) {
                     renewed = sent;
                 }
                 options.onRenewed(row, outcome.version);
@@ -167,7 +167,7 @@
         },
         getDueMs: () => nextAt - time.now(),
         getLeftMs: () => renewed.leaseMs - LEASE_MARGIN_MS - clock.getElapsedMs(time, renewed.sentAt),
-        isLate: () => time.now() - renewed.sentAt.monotonic >= RENEW_EVERY_MS + LATE_MS,
+        isLate: () => time.now() - renewed.sentAt.monotonicMs >= RENEW_EVERY_MS + LATE_MS,
     };
     return renewals;
 }
--- a/src/leader/sharing.ts
+++ b/src/leader/sharing.ts
@@ -19,7 +19,7 @@
         .filter(task => task.step.spec.targetMs > 0)
         .map(task => task.recentFigure / task.step.spec.targetMs);
     for (const task of fillers) {
-        const percent = decisions.decidePace({ percent: task.pacePercent ?? 0, tailShares });
+        const percent = decisions.decidePace({ currentPercent: task.pacePercent ?? 0, tailLatencyRatios: tailShares });
         // After a takeover the pace is not known: whatever is decided is told.
         const change = task.pacePercent === undefined ? Infinity : Math.abs(percent - task.pacePercent);
         if (change >= LEAST_CHANGE || (percent === 0 && change > 0)) {
--- a/src/leader/slowWorkers.ts
+++ b/src/leader/slowWorkers.ts
@@ -12,14 +12,14 @@
     readonly now: number;
     readonly book: book.Book;
     readonly log: observe.Log;
-    readonly leftOut: ReadonlySet<decisions.Mechanism>;
+    readonly disabledMechanisms: ReadonlySet<decisions.Mechanism>;
     getUrgency(step: entries.StepEntry): decisions.Urgency;
 }
 
 export function handleSlowWorker(worker: entries.WorkerEntry, options: SlowWorkerOptions): void {
     const running = [...worker.tasks].filter(task => task.phase === "running" && !task.step.spec.lasting);
     const slowdowns = running.flatMap(task => decisions.getSlowdown(task.speed) ?? []);
-    if (!decisions.isSlow(slowdowns)) {
+    if (!decisions.isWorkerSlow(slowdowns)) {
         return;
     }
     if (worker.quarantinedUntil <= options.now) {
@@ -28,17 +28,17 @@
             slowdowns: slowdowns.map(slowdown => Math.round(slowdown * 10) / 10),
         });
     }
-    if (!options.leftOut.has("slowWorkers")) {
+    if (!options.disabledMechanisms.has("slowWorkers")) {
         worker.quarantinedUntil = Math.max(worker.quarantinedUntil, options.now + SLOW_ASIDE_MS);
     }
-    if (options.leftOut.has("slowMoves")) {
+    if (options.disabledMechanisms.has("slowMoves")) {
         return;
     }
     for (const task of running) {
         const times = decisions.getMoveTimes({
             ...task.speed,
             percent: task.percent,
-            saves: task.step.spec.checkpoints,
+            checkpoints: task.step.spec.checkpoints,
         });
         if (times && paysToMove(task, times, options)) {
             options.book.requestStop(task, "workerSlow");
@@ -53,5 +53,5 @@
         return true;
     }
     const { lossCoreSeconds } = units.measureLoss(step.spec.gang ? step.tasks : [task], options.now);
-    return decisions.paysToMove(options.getUrgency(step), times, lossCoreSeconds);
+    return decisions.isMoveWorthwhile(options.getUrgency(step), times, lossCoreSeconds);
 }
--- a/src/leader/term.ts
+++ b/src/leader/term.ts
@@ -85,12 +85,12 @@
 export function createTerm(options: TermOptions): Term {
     const { clock: time, log, meter, leadership } = options;
     const { signal } = leadership;
-    const { leftOut } = options.policy;
+    const { disabledMechanisms: leftOut } = options.policy;
     const lookWaitMs = Math.round(Math.min(MOST_LOOK_WAIT_MS, LOOK_SHARE * options.maxLeaseMs));
     const predictor = decisions.createPredictor();
     const firstLooks = firstLooksOfTerm.createInitialPollLimiter(
         time,
-        options.policy.leftOut.has("firstLooks") ? Infinity : undefined,
+        options.policy.disabledMechanisms.has("firstLooks") ? Infinity : undefined,
     );
     const openedAt = time.now();
     let ready = false;
@@ -132,7 +132,7 @@
         getSession: worker => registry.getSession(worker),
         mayOrder: leadership.mayOrder,
         mayStart: worker => mayStart(worker, time.now()),
-        leftOut,
+        disabledMechanisms: leftOut,
     });
     const contact = contacts.createReachabilityCheck({
         clock: time,
@@ -170,7 +170,7 @@
                     now: time.now(),
                     book,
                     log,
-                    leftOut,
+                    disabledMechanisms: leftOut,
                     getUrgency: step => units.getUrgency(step, createView(new Set())),
                 });
                 sharing.paceFillers(worker, orders.pace);
@@ -271,10 +271,10 @@
         let groups: ReadonlyMap<string, units.GroupOfTasks> = new Map();
         const plan = decisions.plan({
             now,
-            leftOut,
+            disabledMechanisms: leftOut,
             workers: usable.map(units.toPlaceable),
             units: waiting.map(item => item.unit),
-            getGroups: () => {
+            getRunningGroups: () => {
                 groups = units.collectGroups(book.active, view);
                 return [...groups.values()].map(item => item.group);
             },
--- a/src/leader/units.ts
+++ b/src/leader/units.ts
@@ -74,11 +74,11 @@
     const { job } = step.occurrence;
     const waitedMs = options.now - Math.max(step.readySince ?? options.now, first.waitingSince);
     const stepName = getStepName(step);
-    const suspect = waitedMs < ISOLATION_PATIENCE_MS && !options.policy.leftOut.has("isolation")
+    const suspect = waitedMs < ISOLATION_PATIENCE_MS && !options.policy.disabledMechanisms.has("isolation")
         && tasks.some(task => crashHistory.isSuspect(task.crashes));
     return {
         key: first.name,
-        family: first.failures > 0 || suspect ? first.name : stepName,
+        equivalenceClass: first.failures > 0 || suspect ? first.name : stepName,
         step: stepName,
         service: job.queue.service,
         needs: step.needs,
@@ -89,14 +89,14 @@
         dataRack: spec.dataRack,
         maxPerWorker: spec.maxPerWorker,
         stepTasksByWorker: spec.maxPerWorker > 0 ? countByWorker(step) : undefined,
-        claim: urgency.claim,
-        serves: spec.targetMs > 0,
-        fills: spec.fills,
-        suspect,
-        avoided: waitedMs < OTHER_WORKER_PATIENCE_MS ? unionFailedOn(tasks) : NO_WORKERS,
-        allowed: job.queue.advice ? getTicketed(step, options.now) : undefined,
+        tier: urgency.tier,
+        latencySensitive: spec.targetMs > 0,
+        bestEffort: spec.fills,
+        mayCrashWorker: suspect,
+        excludedWorkerIds: waitedMs < OTHER_WORKER_PATIENCE_MS ? unionFailedOn(tasks) : NO_WORKERS,
+        allowedWorkerIds: job.queue.advice ? getTicketed(step, options.now) : undefined,
         waitedMs,
-        expectedMs: options.expect(step),
+        expectedDurationMs: options.expect(step),
     };
 }
 
@@ -145,7 +145,7 @@
     const { job } = occurrence;
     const since = occurrence.dueAt ?? job.submission.acceptedAt;
     return {
-        claim: getClaim(step, options),
+        tier: getClaim(step, options),
         priority: job.queue.priority,
         ageMs: options.wallNow - since,
         objectiveMs: getExpected(job, options.expect).objectiveMs,
@@ -228,7 +228,7 @@
     const { elapsedMs, unsavedMs, lossCoreSeconds } = measureLoss(tasks, options.now);
     return {
         key,
-        claim: getClaim(step, options),
+        tier: getClaim(step, options),
         members: tasks.map(task => ({ workerId: task.worker!.id, needs: step.needs })),
         lossCoreSeconds,
         costCoreSeconds: options.policy.getStopCost({
@@ -238,7 +238,7 @@
             unsavedMs,
             preemptions: tasks[0]!.preemptions + getBudgetAtStake(tasks),
         }),
-        protection: getProtection(tasks),
+        disruptionBudget: getProtection(tasks),
     };
 }
 
@@ -259,13 +259,13 @@
 }
 
 /** Tasks that are not at work have nothing to lose: their step misses them already. */
-function getProtection(tasks: readonly entries.TaskEntry[]): decisions.Protection | undefined {
+function getProtection(tasks: readonly entries.TaskEntry[]): decisions.DisruptionBudget | undefined {
     const { step } = tasks[0]!;
     const { mayMiss } = step.spec;
     if (mayMiss === 0 || !tasks.some(entries.isAvailable)) {
         return undefined;
     }
-    return { step: getStepName(step), mayStop: mayMiss - entries.countUnavailable(step) };
+    return { step: getStepName(step), allowedDisruptions: mayMiss - entries.countUnavailable(step) };
 }
 
 function getStepName(step: entries.StepEntry): string {
@@ -276,14 +276,14 @@
 const RESTORE_LOSS_MS = 100;
 
 export function toPlaceable(worker: entries.WorkerEntry): decisions.PlaceableWorker {
-    const freeing = decisions.copyRoom(work.EMPTY_ROOM);
+    const freeing = decisions.copyResources(work.NO_RESOURCES);
     let serving = 0;
     let filling = 0;
     for (const task of worker.tasks) {
         serving += task.step.spec.targetMs > 0 ? 1 : 0;
         filling += task.step.spec.fills ? 1 : 0;
         if (task.phase === "stopping" || task.phase === "done") {
-            decisions.addRoom(freeing, task.step.needs);
+            decisions.addResources(freeing, task.step.needs);
         }
     }
     return {
@@ -293,18 +293,18 @@
         labels: worker.info.labels,
         capacity: worker.info.capacity,
         used: worker.used,
-        freeing,
-        serving,
-        filling,
-        company: getCompany(worker),
+        releasing: freeing,
+        latencySensitiveTasks: serving,
+        bestEffortTasks: filling,
+        occupancy: getCompany(worker),
     };
 }
 
 function getCompany(worker: entries.WorkerEntry): decisions.Company {
     for (const task of worker.tasks) {
         if (suspects.isUnsettled(task)) {
-            return decisions.Company.Unsettled;
+            return decisions.Company.RecentStart;
         }
     }
-    return worker.tasks.size > 0 ? decisions.Company.Settled : decisions.Company.None;
+    return worker.tasks.size > 0 ? decisions.Company.Stable : decisions.Company.Idle;
 }
--- a/src/leader/waits.ts
+++ b/src/leader/waits.ts
@@ -43,12 +43,12 @@
     const ofService = workers.filter(worker => worker.info.service === unit.service);
     const placeable = ofService.filter(isPlaceable);
     const allowed = placeable.filter(({ id, info }) =>
-        !unit.avoided.has(id) && (unit.allowed?.has(id) ?? true)
+        !unit.excludedWorkerIds.has(id) && (unit.allowedWorkerIds?.has(id) ?? true)
         && (unit.requiredLabel === undefined || info.labels.includes(unit.requiredLabel))
     );
     const withRoom = allowed.filter(worker => {
-        const room = decisions.copyRoom(worker.info.capacity);
-        decisions.takeRoom(room, worker.used);
+        const room = decisions.copyResources(worker.info.capacity);
+        decisions.subtractResources(room, worker.used);
         return decisions.countFits(room, unit.needs) > 0;
     });
     return {
--- a/src/rows/followTable.ts
+++ b/src/rows/followTable.ts
@@ -74,7 +74,7 @@
     let lostAt = -Infinity;
     /** What others could not write while the store was away they write when it is back, and it is waited for. */
     const getPauseMs = () => time.now() - lostAt < CATCH_UP_MS ? Math.min(everyMs, RETRY_PAUSE_MS) : everyMs;
-    const keep = (askedAt: clock.Moment, asOf = askedAt) => {
+    const keep = (askedAt: clock.Timestamp, asOf = askedAt) => {
         contact.recordSuccess(askedAt, asOf);
         // An answer that took long counts from its call; the next one, at once, tells whether more has changed since.
         waitMs = contact.getAgeMs() > POLL_WAIT_MS + POLL_SLACK_MS ? 0 : fullWaitMs;
@@ -90,7 +90,7 @@
     };
     /** Both return the version up to which the table is known then; `undefined`: it has to be read whole. */
     const readWhole = async (): Promise<number | undefined> => {
-        const askedAt = clock.readMoment(time);
+        const askedAt = clock.getTimestamp(time);
         const range = { table, part: options.part };
         const all = await readAll.readAll(store, range, READ_SILENCE_MS, rows.MAX_ANSWER_MS);
         if (signal.aborted) {
@@ -105,7 +105,7 @@
         return all.version;
     };
     const poll = async (after: number): Promise<number | undefined> => {
-        const askedAt = clock.readMoment(time);
+        const askedAt = clock.getTimestamp(time);
         const heldMs = waitMs;
         const changes = await store.feed(table, after, heldMs, heldMs + POLL_SLACK_MS, rows.MAX_ANSWER_MS);
         if (signal.aborted) {
@@ -147,7 +147,7 @@
 }
 
 /** A poll that finds nothing is held by the store for its wait, and so tells of changes up to the end of it. */
-function getEndOfWait(time: clock.Clock, askedAt: clock.Moment, heldMs: number): clock.Moment {
-    const wasHeld = time.now() - askedAt.monotonic >= heldMs;
+function getEndOfWait(time: clock.Clock, askedAt: clock.Timestamp, heldMs: number): clock.Timestamp {
+    const wasHeld = time.now() - askedAt.monotonicMs >= heldMs;
     return wasHeld ? clock.addMs(askedAt, heldMs) : askedAt;
 }
--- a/src/rows/tableFreshness.ts
+++ b/src/rows/tableFreshness.ts
@@ -17,7 +17,7 @@
 
 export interface TableFreshness {
     /** An answer to what was asked at `askedAt` has come whole; it holds whatever was written before `asOf`. */
-    recordSuccess(askedAt: clock.Moment, asOf: clock.Moment): void;
+    recordSuccess(askedAt: clock.Timestamp, asOf: clock.Timestamp): void;
     /** An answer has not come, or not whole. */
     recordFailure(why: string): void;
     /** Milliseconds since the moment as of which the table is known for certain; `Infinity` before the first answer. */
@@ -26,7 +26,7 @@
 
 export function createTableFreshness(options: TableFreshnessOptions): TableFreshness {
     const { clock: time, log, meter, table } = options;
-    let currentAt: clock.Moment | undefined;
+    let currentAt: clock.Timestamp | undefined;
     let lostAt: number | undefined;
     let failures = 0;
     const getAgeMs = () => currentAt ? clock.getElapsedMs(time, currentAt) : Infinity;
@@ -38,7 +38,7 @@
         recordSuccess: (askedAt, asOf) => {
             currentAt = asOf;
             meter.increment("table_reads_total", { table, outcome: "whole" });
-            meter.record("table_read_duration_ms", { table }, time.now() - askedAt.monotonic);
+            meter.record("table_read_duration_ms", { table }, time.now() - askedAt.monotonicMs);
             if (lostAt !== undefined) {
                 log.info("tableRegained", { table, lostMs: Math.round(time.now() - lostAt), failures });
                 lostAt = undefined;
--- a/src/scheduler/__tests__/fixtures.ts
+++ b/src/scheduler/__tests__/fixtures.ts
@@ -45,7 +45,7 @@
 
 export function createStep(fields: Partial<work.StepSpec> = {}): work.StepSpec {
     return {
-        ...work.PLAIN_STEP,
+        ...work.DEFAULT_STEP,
         count: 1,
         needs: { cpuMillis: 2_000, memoryMb: 4_096, accelerators: 1 },
         estimateMs: 2_000,
--- a/src/scheduler/__tests__/unansweredStarts.test.ts
+++ b/src/scheduler/__tests__/unansweredStarts.test.ts
@@ -12,7 +12,7 @@
         let lost = false;
         const job = fixtures.createJob(1, { estimateMs: 6_000 });
         const site = await fixtures.openSiteWithJobs({
-            policy: decisions.leaveOut(decisions.POLICIES.worth, leftOut),
+            policy: decisions.disableMechanisms(decisions.POLICIES.worth, leftOut),
             workerFaults: () => ({
                 decide: (_worker, call) => {
                     const fault = call === "start" && !lost ? "loseAnswer" : "none";
--- a/src/scheduler/scheduler.ts
+++ b/src/scheduler/scheduler.ts
@@ -74,13 +74,13 @@
 
 export function createScheduler(options: SchedulerOptions): Scheduler {
     const { clock: time, log, meter } = options;
-    const { leftOut } = options.policy;
+    const { disabledMechanisms: leftOut } = options.policy;
     const current = catalogs.createCurrentCatalog();
     const health = rows.createStoreHealth({
         store: rows.createInstrumentedStore(options.store, meter),
         clock: time,
         signal: options.signal,
-        probe: { table: work.Table.Lead, part: work.LEADER_PART },
+        probe: { table: work.Table.LeaderLease, part: work.LEADER_PART },
         onUnreachable: why => {
             log.warn("storeLost", { why });
             offerTerm();
--- a/src/work/__tests__/limits.test.ts
+++ b/src/work/__tests__/limits.test.ts
@@ -4,7 +4,7 @@
 
 function createSpec(counts: readonly number[], repeats = 0): work.JobSpec {
     const needs = { cpuMillis: 1_000, memoryMb: 1_000, accelerators: 1 };
-    const steps = counts.map(count => ({ ...work.PLAIN_STEP, count, needs, estimateMs: 1_000 }));
+    const steps = counts.map(count => ({ ...work.DEFAULT_STEP, count, needs, estimateMs: 1_000 }));
     return { payload: "", steps, repeats, firstDueAt: 0, periodMs: 0 };
 }
 
@@ -18,7 +18,7 @@
         ["cannot keep in memory when all is due at once", createSpec([100], 1_000), /100000 tasks over all/],
     ];
     test.each(cases)("%s", (_name, spec, excess) => {
-        const found = work.findExcess(spec, ROW_BYTES);
+        const found = work.findExceededLimit(spec, ROW_BYTES);
         expect(found === undefined).toBe(excess === undefined);
         expect(found ?? "").toMatch(excess ?? /^$/);
     });
--- a/src/work/index.ts
+++ b/src/work/index.ts
@@ -1,5 +1,5 @@
 /** Jobs, steps, occurrences and tasks: what is handed in, and how far it has come, as both are stored. */
-export { findExcess } from "./limits";
+export { findExceededLimit } from "./limits";
 export {
     decodeOccurrence,
     encodeOccurrence,
@@ -9,13 +9,13 @@
     type TaskProgress,
 } from "./progress";
 export {
-    EMPTY_ROOM,
-    getCountedNeeds,
+    DEFAULT_STEP,
     getDueAt,
     getOccurrenceCount,
+    getReservedResources,
     type JobSpec,
-    PLAIN_STEP,
-    type Room,
+    NO_RESOURCES,
+    type Resources,
     type StepSpec,
     type Submission,
 } from "./spec";
--- a/src/work/limits.ts
+++ b/src/work/limits.ts
@@ -18,7 +18,7 @@
 const TASK_BYTES = 56;
 
 /** What is too much about the job, in words; `undefined`: nothing. `rowBytes`: the longest value of a row. */
-export function findExcess(job: spec.JobSpec, rowBytes: number): string | undefined {
+export function findExceededLimit(job: spec.JobSpec, rowBytes: number): string | undefined {
     const tasks = job.steps.reduce((sum, step) => sum + step.count, 0);
     const mostTasks = Math.floor(rowBytes / TASK_BYTES);
     if (tasks > mostTasks) {
--- a/src/work/spec.ts
+++ b/src/work/spec.ts
@@ -2,7 +2,7 @@
 import type * as catalog from "../catalog/index";
 
 /** Capacity of a worker, or a part of it. */
-export interface Room {
+export interface Resources {
     /** Thousandths of a processor core. */
     readonly cpuMillis: number;
     readonly memoryMb: number;
@@ -11,7 +11,7 @@
 
 export interface StepSpec {
     readonly count: number;
-    readonly needs: Room;
+    readonly needs: Resources;
     /** The caller's rough estimate of a task's duration. */
     readonly estimateMs: number;
     /** Earlier steps of which all tasks must be done first. */
@@ -65,7 +65,7 @@
 }
 
 /** A step of which nothing special is asked. */
-export const PLAIN_STEP: Omit<StepSpec, "count" | "needs" | "estimateMs"> = {
+export const DEFAULT_STEP: Omit<StepSpec, "count" | "needs" | "estimateMs"> = {
     after: [],
     checkpoints: false,
     gang: false,
@@ -79,10 +79,10 @@
     fills: false,
 };
 
-export const EMPTY_ROOM: Room = { cpuMillis: 0, memoryMb: 0, accelerators: 0 };
+export const NO_RESOURCES: Resources = { cpuMillis: 0, memoryMb: 0, accelerators: 0 };
 
 /** What a task takes of its worker's capacity. */
-export function getCountedNeeds(step: StepSpec): Room {
+export function getReservedResources(step: StepSpec): Resources {
     return step.fills ? { ...step.needs, cpuMillis: 0 } : step.needs;
 }
 
--- a/src/work/tables.ts
+++ b/src/work/tables.ts
@@ -6,7 +6,7 @@
     /** Progress of jobs and occurrences; written by the leader alone. */
     Progress: "progress",
     /** The leader's lease and fencing token. */
-    Lead: "lead",
+    LeaderLease: "lead",
 } as const;
 
 /** Submissions lie in so many parts, since a part takes one transaction after another. */
