--- a/src/emulator/machines.ts
+++ b/src/emulator/machines.ts
@@ -27,7 +27,7 @@
 
 export interface EmulatedMachines {
     readonly service: leader.MachineService;
-    readonly board: leader.WaveBoard;
+    readonly board: leader.WavePort;
     /** Puts the machine beneath a worker that is there. */
     put(machineId: string, info: leader.WorkerInfo, workers: workersInMemory.EmulatedWorkers): void;
     /** Breaches of promises, in words; empty when all were kept. */
@@ -145,11 +145,11 @@
             },
         },
         board: {
-            getOpen: () =>
+            getIncomplete: () =>
                 options.waves
                     .filter(wave => !completed.has(wave.number))
                     .map(wave => ({ wave, knownAt })),
-            report: async (number, state) => {
+            reportState: async (number, state) => {
                 reports.push(`${number} ${state}`);
                 if (state === "completed") {
                     completed.add(number);
--- a/src/emulator/site.ts
+++ b/src/emulator/site.ts
@@ -28,7 +28,7 @@
     readonly workerFaults?: workerOrders.WorkerFaults;
     readonly adviser?: leader.Adviser;
     readonly machines?: leader.MachineService;
-    readonly waves?: leader.WaveBoard;
+    readonly waves?: leader.WavePort;
     readonly policy?: decisions.Policy;
     /** Longest lease of what runs on a worker. */
     readonly maxLeaseMs?: number;
@@ -92,7 +92,7 @@
     list: async () => ({ kind: "unavailable", message: "emulated: none" }),
     beginUpkeep: async () => ({ kind: "unknown", message: "emulated: none" }),
 };
-const NO_WAVES: leader.WaveBoard = { getOpen: () => [], report: async () => true };
+const NO_WAVES: leader.WavePort = { getIncomplete: () => [], reportState: async () => true };
 
 export function createSite(options: SiteOptions): Site {
     const { clock: time } = options;
@@ -176,11 +176,11 @@
             },
             handover: {
                 getCandidates: () => instances.map((_, other) => getInstanceName(other)).filter(isOther),
-                ask: async (candidate, offer) => {
+                queryCandidate: async (candidate, offer) => {
                     await time.sleep(WORKER_LATENCY_MS);
                     return findAlive(candidate)?.scheduler.handover.answer(offer);
                 },
-                tell: async (candidate, offer) => {
+                notifySuccessor: async (candidate, offer) => {
                     await time.sleep(WORKER_LATENCY_MS);
                     findAlive(candidate)?.scheduler.handover.take(offer);
                 },
@@ -228,7 +228,7 @@
             }
         };
         takeHeartbeat();
-        return { getSilentMs: () => time.now() - heartbeatAt };
+        return { getHeartbeatAgeMs: () => time.now() - heartbeatAt };
     };
     const findAlive = (name: string) =>
         instances.find((instance, other) => getInstanceName(other) === name && !instance.controller.signal.aborted);
--- a/src/leader/__tests__/sharing.test.ts
+++ b/src/leader/__tests__/bestEffortPacing.test.ts
@@ -1,6 +1,6 @@
 import * as fixtures from "../../scheduler/__tests__/fixtures";
+import * as sharing from "../bestEffortPacing";
 import * as entries from "../entries";
-import * as sharing from "../sharing";
 
 const TARGET_MS = 100;
 
--- a/src/leader/__tests__/crashAttribution.test.ts
+++ b/src/leader/__tests__/crashAttribution.test.ts
@@ -236,7 +236,7 @@
         const judge = crashes.createCrashAttribution({
             clock: time,
             getWorkers: () => workers,
-            expectRun: ({ spec }) => spec.estimateMs,
+            estimateRunMs: ({ spec }) => spec.estimateMs,
             onReviewed: () => undefined,
         });
         workers.forEach(worker => judge.recordWorkerSeen(worker.info));
--- a/src/leader/__tests__/fixtures.ts
+++ b/src/leader/__tests__/fixtures.ts
@@ -3,9 +3,9 @@
 import type * as observe from "../../observe/index";
 import * as telemetry from "../../telemetry/index";
 import * as work from "../../work/index";
-import * as bookOfTasks from "../book";
 import * as entries from "../entries";
 import type * as heldLease from "../heldLease";
+import * as bookOfTasks from "../jobRegistry";
 import type * as lostRuns from "../lostRuns";
 import * as thrownAway from "../thrownAway";
 
@@ -41,7 +41,7 @@
     return entries.createOccurrenceEntry(job, 0, 0).steps[0]!.tasks[0]!;
 }
 
-export const LIST_OPTIONS: lostRuns.ListOptions = { expectRun: ({ spec }) => spec.estimateMs };
+export const LIST_OPTIONS: lostRuns.ListOptions = { estimateRunMs: ({ spec }) => spec.estimateMs };
 
 /** A lease that is held for good. */
 export const LEADERSHIP: heldLease.Leadership = {
@@ -49,35 +49,35 @@
     guard: { table: "t", part: "", key: "k", version: 1 },
     signal: new AbortController().signal,
     transact: async () => ({ kind: "refused", message: "" }),
-    mayOrder: () => true,
-    mayProlong: () => true,
-    othersSilentAt: 0,
+    mayIssueOrders: () => true,
+    mayExtendTaskLeases: () => true,
+    predecessorsInactiveAt: 0,
 };
 
 /** An empty book; `stopWanted` is told of each task that is to be stopped. */
-export function createBook(
+export function createJobRegistry(
     { getWorkers = () => [], stopWanted = () => undefined }: {
         getWorkers?(): Iterable<entries.WorkerEntry>;
         stopWanted?(task: entries.TaskEntry): void;
     } = {},
-): bookOfTasks.Book {
-    return bookOfTasks.createBook({
+): bookOfTasks.JobRegistry {
+    return bookOfTasks.createJobRegistry({
         clock: clocks.createManualClock(),
         log: LOG,
         meter: telemetry.createMetrics().meter,
         signal: new AbortController().signal,
         listener: {
-            occurrenceChanged: () => undefined,
-            jobChanged: () => undefined,
-            stopWanted,
-            runObsolete: () => undefined,
-            changed: () => undefined,
+            onOccurrenceChanged: () => undefined,
+            onJobChanged: () => undefined,
+            onStopRequested: stopWanted,
+            onRunObsolete: () => undefined,
+            onChanged: () => undefined,
         },
         getQueue: () => QUEUE,
-        getExpected: () => ({ objectiveMs: 0, criticalPathMs: 0 }),
-        expectRun: () => 1_000,
+        getExpectedTimes: () => ({ objectiveMs: 0, criticalPathMs: 0 }),
+        estimateRunMs: () => 1_000,
         getWorkers,
-        leftOut: new Set(),
-        thrownAway: thrownAway.createThrownAway(),
+        disabledMechanisms: new Set(),
+        thrownAway: thrownAway.createThrownAwayWork(),
     });
 }
--- a/src/leader/__tests__/handoverCalls.test.ts
+++ b/src/leader/__tests__/handoverCalls.test.ts
@@ -1,12 +1,12 @@
 import * as calls from "../../calls/index";
 import * as leader from "../index";
 
-const OFFER: leader.Offer = { holder: "a-1", token: 7 };
+const OFFER: leader.HandoverOffer = { holder: "a-1", token: 7 };
 const TIMEOUT_MS = 5_000;
 
 async function open(candidacy: leader.Candidacy | undefined) {
-    const asked: leader.Offer[] = [];
-    const taken: leader.Offer[] = [];
+    const asked: leader.HandoverOffer[] = [];
+    const taken: leader.HandoverOffer[] = [];
     const server = calls.createCallServer(leader.createHandoverRoutes({
         answer: async offer => {
             asked.push(offer);
@@ -38,14 +38,14 @@
     ];
     test.each(answers)("an instance %s says so", async (_name, candidacy) => {
         const other = await open(candidacy);
-        expect(await other.port.ask(other.address, OFFER, TIMEOUT_MS)).toEqual(candidacy);
+        expect(await other.port.queryCandidate(other.address, OFFER, TIMEOUT_MS)).toEqual(candidacy);
         await other.close();
         expect(other.asked).toEqual([OFFER]);
     });
 
     test("the successor is told which term has ended", async () => {
         const other = await open({ power: 1 });
-        await other.port.tell(other.address, OFFER, TIMEOUT_MS);
+        await other.port.notifySuccessor(other.address, OFFER, TIMEOUT_MS);
         await other.close();
         expect(other.taken).toEqual([OFFER]);
     });
@@ -55,7 +55,7 @@
         await other.close();
         const client = calls.createHttpClient(1);
         const port = leader.createHandoverPort(client, () => []);
-        expect(await port.ask(other.address, OFFER, TIMEOUT_MS)).toBeUndefined();
+        expect(await port.queryCandidate(other.address, OFFER, TIMEOUT_MS)).toBeUndefined();
         client.close();
     });
 
--- a/src/leader/__tests__/book.test.ts
+++ b/src/leader/__tests__/jobRegistry.test.ts
@@ -4,9 +4,9 @@
 
 /** A gang of two, each on a worker of its own. */
 function openBookWithGang() {
-    const book = fixtures.createBook();
+    const book = fixtures.createJobRegistry();
     const job = book.addJob(fixtures.createSubmission("job", { count: 2, gang: true }));
-    book.releaseDue();
+    book.releaseDueOccurrences();
     const members = job.occurrences.get(0)!.steps[0]!.tasks;
     const workers = members.map(({ index }) => entries.createWorkerEntry(entries.createUnknownWorkerInfo(`w${index}`)));
     book.place(members, workers);
--- a/src/leader/__tests__/lease.test.ts
+++ b/src/leader/__tests__/lease.test.ts
@@ -30,12 +30,12 @@
             peerAddress: "",
             watchHolder: (_address, onGone) => {
                 goneByWatcher.set(name, onGone);
-                return { getSilentMs: () => undefined, end: () => {} };
+                return { getHeartbeatAgeMs: () => undefined, end: () => {} };
             },
             power: 1,
             signal: controller.signal,
-            getWaiting: () => undefined,
-            onRenewalLate: () => {},
+            getWaitingCounts: () => undefined,
+            onRenewalOverdue: () => {},
             onElected: () => terms.push(name),
         });
     return { clock, terms, leases: names.map(open), tellGone: (name: string) => goneByWatcher.get(name)!() };
--- a/src/leader/__tests__/orders.test.ts
+++ b/src/leader/__tests__/orders.test.ts
@@ -1,8 +1,8 @@
 import * as clocks from "../../clock/index";
 import * as telemetry from "../../telemetry/index";
-import type * as bookOfTasks from "../book";
 import * as crashHistory from "../crashHistory";
 import * as entries from "../entries";
+import type * as bookOfTasks from "../jobRegistry";
 import * as orders from "../orders";
 import type * as workerSession from "../workerSession";
 import * as fixtures from "./fixtures";
@@ -59,12 +59,12 @@
                     return { kind: "accepted", workerClock: 0 };
                 },
             };
-            const book: Partial<bookOfTasks.Book> = {
+            const book: Partial<bookOfTasks.JobRegistry> = {
                 confirmRunning: () => undefined,
-                takeBack: () => called.push("takeBack"),
+                revertPlacement: () => called.push("takeBack"),
             };
             const ordersOfTerm = orders.createOrders({
-                book: book as bookOfTasks.Book,
+                jobRegistry: book as bookOfTasks.JobRegistry,
                 clock: time,
                 log: fixtures.LOG,
                 meter: telemetry.createMetrics().meter,
--- a/src/leader/__tests__/progressWriter.test.ts
+++ b/src/leader/__tests__/progressWriter.test.ts
@@ -61,7 +61,7 @@
             transact: (store, { conditions = [], puts = [], removals = [] }, timeoutMs) =>
                 store.transact({ conditions: [GUARD, ...conditions], puts, removals }, timeoutMs),
         },
-        onDeposed: () => {
+        onSuperseded: () => {
             deposed.push("deposed");
             controller.abort();
         },
--- a/src/leader/__tests__/renewals.test.ts
+++ b/src/leader/__tests__/renewals.test.ts
@@ -28,8 +28,8 @@
         sentAt: clocks.getTimestamp(clock),
         createRow: leaseMs => ({ ...LEASE, value: String(leaseMs) }),
         onRenewed: () => {},
-        onDeposed: reason => deposed.push(reason),
-        onLate: () => {},
+        onSuperseded: reason => deposed.push(reason),
+        onOverdue: () => {},
     });
     const getLeaseMs = (call: number) => Number(calls[call]!.tx.puts.find(put => put.key === LEASE.key)!.value);
     return { clock, calls, store, deposed, renewals, getLeaseMs };
@@ -42,7 +42,7 @@
         await clock.advance(500);
         void renewals.transact(store, { puts: [{ ...TOKEN, key: "b", value: "" }] }, 900);
         expect(calls.map(call => call.tx.puts.map(put => put.key))).toEqual([["a"], ["b", "lease"]]);
-        expect(renewals.getDueMs()).toBe(500);
+        expect(renewals.getMsUntilDue()).toBe(500);
     });
 
     test("do not ride on a write that has no room for them", async () => {
@@ -51,7 +51,7 @@
         const puts = Array.from({ length: 99 }, (_, number) => ({ ...TOKEN, key: String(number), value: "" }));
         void renewals.transact(store, { puts }, 900);
         expect(calls[0]!.tx.puts).toHaveLength(99);
-        expect(renewals.getDueMs()).toBe(0);
+        expect(renewals.getMsUntilDue()).toBe(0);
     });
 
     // Symptom: a leader that is well loses its lease at a store that answers after a second. Sequence: each renewal is
@@ -67,7 +67,7 @@
         await clock.advance(0);
         calls[0]!.answer(COMMITTED);
         await clock.advance(0);
-        expect(renewals.getLeftMs()).toBeGreaterThanOrEqual(renewalsOfTerm.LEASE_MS - 250);
+        expect(renewals.getRemainingMs()).toBeGreaterThanOrEqual(renewalsOfTerm.LEASE_MS - 250);
     });
 
     const cases = [
--- a/src/leader/__tests__/restore.test.ts
+++ b/src/leader/__tests__/restore.test.ts
@@ -8,7 +8,7 @@
 const RUNNING = { state: "running", ended: [], failed: false, endedAt: 0 } as const;
 
 function restore(progress: work.TaskProgress, lasting = false): entries.JobEntry {
-    const book = fixtures.createBook();
+    const book = fixtures.createJobRegistry();
     const job = book.addJob(fixtures.createSubmission("job", { lasting }));
     book.restoreJob(job, RUNNING, 1);
     const worker = entries.createWorkerEntry(entries.createUnknownWorkerInfo("w"));
--- a/src/leader/__tests__/thrownAway.test.ts
+++ b/src/leader/__tests__/thrownAway.test.ts
@@ -40,7 +40,7 @@
     test.each(cases)("of a run counts $name", ({ orderedAt, runningSince, savedAt, coreSeconds }) => {
         const [task] = createTasks(1);
         Object.assign(task!, { orderedAt, runningSince, savedAt });
-        const thrownAway = thrownAways.createThrownAway();
+        const thrownAway = thrownAways.createThrownAwayWork();
         expect(thrownAway.addRun(task!, "preempted", 9_000)).toBeCloseTo(coreSeconds);
         expect(thrownAway.getTotals()).toEqual({ preempted: coreSeconds });
     });
@@ -48,8 +48,8 @@
     test("of a gang counts what its members held until the last one had started", () => {
         const tasks = createTasks(3);
         [1_000, 1_500, 3_000].forEach((runningSince, index) => Object.assign(tasks[index]!, { runningSince }));
-        const thrownAway = thrownAways.createThrownAway();
-        thrownAway.addWait(tasks[0]!.step);
+        const thrownAway = thrownAways.createThrownAwayWork();
+        thrownAway.addGangWait(tasks[0]!.step);
         expect(thrownAway.getTotals()).toEqual({ gangWait: 3.5 * CORES });
     });
 
--- a/src/leader/__tests__/units.test.ts
+++ b/src/leader/__tests__/units.test.ts
@@ -8,16 +8,16 @@
 
 /** The cost of stopping a task that has been at work for two seconds. */
 function getStopCost(crashes: crashHistory.CrashHistory): number {
-    const book = fixtures.createBook();
+    const book = fixtures.createJobRegistry();
     const job = book.addJob(fixtures.createSubmission("job", { estimateMs: 9_000 }));
-    book.releaseDue();
+    book.releaseDueOccurrences();
     const task = job.occurrences.get(0)!.steps[0]!.tasks[0]!;
     entries.assign(task, entries.createWorkerEntry(entries.createUnknownWorkerInfo("w")));
     Object.assign(task, { phase: "running", orderedAt: 0, runningSince: 0, crashes });
-    const groups = units.collectGroups([job], {
+    const groups = units.collectRunningGroups([job], {
         now: 2_000,
         wallNow: 2_000,
-        expect: step => step.spec.estimateMs,
+        estimateRunMs: step => step.spec.estimateMs,
         policy: decisions.POLICIES.worth,
         isGuaranteed: () => false,
     });
--- a/src/leader/__tests__/upkeepRows.test.ts
+++ b/src/leader/__tests__/upkeepRows.test.ts
@@ -10,10 +10,10 @@
 const NOW = 5_000;
 
 /** Every third machine is ordered down, every third is done, and the others are still to come. */
-function createStages(machines: number): Map<string, stagesOfWave.Stage> {
-    return new Map(Array.from({ length: machines }, (_, number): [string, stagesOfWave.Stage] => {
+function createStages(machines: number): Map<string, stagesOfWave.MachineStage> {
+    return new Map(Array.from({ length: machines }, (_, number): [string, stagesOfWave.MachineStage] => {
         const id = `m-${String(number).padStart(10, "0")}`;
-        const stages: readonly stagesOfWave.Stage[] = [
+        const stages: readonly stagesOfWave.MachineStage[] = [
             { kind: "ordered", workerName: `i-${number}`, confirmedAt: undefined },
             { kind: "done" },
             { kind: "pending" },
@@ -37,11 +37,11 @@
                 token: 1,
                 guard: { ...tokenKey, version: 1 },
                 sentAt: clocks.getTimestamp(time),
-                othersSilentAt: 0,
+                predecessorsInactiveAt: 0,
                 createRow: () => ({ ...tokenKey, key: "lease", value: "" }),
                 onRenewed: () => {},
-                onDeposed: () => {},
-                onLate: () => {},
+                onSuperseded: () => {},
+                onOverdue: () => {},
             });
             const options = { store: store.open("a"), leadership, timeoutMs: 700 };
             const stages = createStages(count);
@@ -58,7 +58,7 @@
             const reading = upkeepRows.readStages(options, WAVE, [...stages.keys()], NOW);
             await time.advance(100);
             const read = await reading;
-            const expected = new Map([...stages].map(([id, stage]): [string, stagesOfWave.Stage] => [
+            const expected = new Map([...stages].map(([id, stage]): [string, stagesOfWave.MachineStage] => [
                 id,
                 // What is done is stored as ordered in an earlier life, and confirmed.
                 stage.kind === "done" ? { kind: "ordered", workerName: "", confirmedAt: NOW } : stage,
--- a/src/leader/__tests__/waitingCounts.test.ts
+++ b/src/leader/__tests__/waitingCounts.test.ts
@@ -17,7 +17,7 @@
 }
 
 describe("counts of waiting jobs", () => {
-    const room = Math.floor(waitingCounts.MOST_COUNTS_BYTES / ENTRY_BYTES);
+    const room = Math.floor(waitingCounts.MAX_COUNTS_BYTES / ENTRY_BYTES);
     const cases: ReadonlyArray<readonly [name: string, queues: number, counted: number]> = [
         ["of no queue", 0, 0],
         ["of as many queues as there is room for", room, room],
@@ -25,13 +25,13 @@
         ["of the queues of a large site", 20_000, room],
     ];
     test.each(cases)("%s", (_name, queues, counted) => {
-        const fitted = waitingCounts.fitCounts(createCounts(queues));
+        const fitted = waitingCounts.truncateCounts(createCounts(queues));
         expect(Object.keys(fitted.counts)).toHaveLength(counted);
         expect(fitted.complete).toBe(counted === queues);
     });
 
     test("leave out the queues with the fewest", () => {
-        expect(waitingCounts.fitCounts({ a: 1, b: 300, c: 20 }, 17)).toEqual({
+        expect(waitingCounts.truncateCounts({ a: 1, b: 300, c: 20 }, 17)).toEqual({
             counts: { b: 300, c: 20 },
             complete: false,
         });
@@ -53,11 +53,11 @@
             life: "a-1",
             watchAddress: "",
             peerAddress: "",
-            watchHolder: () => ({ getSilentMs: () => undefined, end: () => undefined }),
+            watchHolder: () => ({ getHeartbeatAgeMs: () => undefined, end: () => undefined }),
             power: 1,
             signal: stopping.signal,
-            getWaiting: () => createCounts(5_000),
-            onRenewalLate: () => undefined,
+            getWaitingCounts: () => createCounts(5_000),
+            onRenewalOverdue: () => undefined,
             onElected: () => undefined,
         });
         await time.advance(renewals.LEASE_MS + 3_000);
--- a/src/leader/__tests__/workerRegistry.test.ts
+++ b/src/leader/__tests__/workerRegistry.test.ts
@@ -28,7 +28,7 @@
     const stops: string[] = [];
     const closed: string[] = [];
     const looks: string[] = [];
-    const book = fixtures.createBook({
+    const book = fixtures.createJobRegistry({
         getWorkers: () => registry.workers.values(),
         stopWanted: task => stops.push(task.worker!.id),
     });
@@ -37,7 +37,7 @@
         log: fixtures.LOG,
         leadership: fixtures.LEADERSHIP,
         maxLeaseMs: 6_000,
-        book,
+        jobRegistry: book,
         filterKnownServices: listed => listed,
         openSession: worker => createSession(() => looks.push(worker.id)),
         closeRun: (worker, task, run) => closed.push(`${worker.id} ${task} ${run}`),
@@ -46,7 +46,7 @@
     registry.applyDirectory([list(FIRST.startedAt)]);
     const first = registry.findCurrent(NAME)!;
     const job = book.addJob(fixtures.createSubmission("job"));
-    book.releaseDue();
+    book.releaseDueOccurrences();
     const task = job.occurrences.get(0)!.steps[0]!.tasks[0]!;
     book.place([task], [first]);
     return { time, book, registry, first, task, stops, closed, looks };
--- a/src/leader/advice.ts
+++ b/src/leader/advice.ts
@@ -6,17 +6,17 @@
 import type * as entries from "./entries";
 import type * as units from "./units";
 
-export interface AdviceDeskOptions {
+export interface AdviceRequesterOptions {
     readonly adviser: directory.Adviser;
     readonly clock: clock.Clock;
     readonly log: observe.Log;
     readonly signal: AbortSignal;
-    onTickets(): void;
+    onTicketsChanged(): void;
 }
 
-export interface AdviceDesk {
+export interface AdviceRequester {
     /** Asks for steps that wait while the workers that they may use have no room for them. */
-    ask(waiting: readonly units.UnitOfTasks[], placeable: readonly entries.WorkerEntry[]): void;
+    requestAdvice(waiting: readonly units.UnitOfTasks[], placeable: readonly entries.WorkerEntry[]): void;
 }
 
 /** Workers named in one call: the adviser's time grows with each, and a job's objective allows for a call of 30. */
@@ -27,7 +27,7 @@
 /** After a call without a usable answer the step waits this long for the next. */
 const RETRY_MS = 300;
 
-export function createAdviceDesk(options: AdviceDeskOptions): AdviceDesk {
+export function createAdviceRequester(options: AdviceRequesterOptions): AdviceRequester {
     const asking = new Set<string>();
     /** Workers that were asked about for a step and are not good for it; which ones are good does not change. */
     const refused = new WeakMap<entries.StepEntry, Set<string>>();
@@ -48,7 +48,7 @@
             const bad = refused.get(step) ?? new Set<string>();
             workers.forEach(worker => bad.add(worker.id));
             const asked = new Map(workers.map(worker => [worker.incarnation.name, worker.id]));
-            for (const good of result.good) {
+            for (const good of result.suitable) {
                 const workerId = asked.get(good.workerName);
                 if (workerId === undefined) {
                     continue;
@@ -60,14 +60,14 @@
                 });
             }
             refused.set(step, bad);
-            options.log.info("advised", { step: name, asked: workers.length, good: result.good.length });
+            options.log.info("advised", { step: name, asked: workers.length, good: result.suitable.length });
         }
         asking.delete(name);
-        options.onTickets();
+        options.onTicketsChanged();
     };
 
     return {
-        ask: (waiting, placeable) => {
+        requestAdvice: (waiting, placeable) => {
             const now = options.clock.now();
             for (const { unit, tasks } of waiting) {
                 const step = tasks[0]!.step;
--- a/src/leader/crashAttribution.ts
+++ b/src/leader/crashAttribution.ts
@@ -42,7 +42,7 @@
     readonly clock: clock.Clock;
     getWorkers(): Iterable<entries.WorkerEntry>;
     /** How long a run of the step's tasks is expected to take. */
-    expectRun(step: entries.StepEntry): number;
+    estimateRunMs(step: entries.StepEntry): number;
     /** What can be known of a loss is known by now, or more than before; `hasChanged`: the task's counts have. */
     onReviewed(task: entries.TaskEntry, hasChanged: boolean): void;
 }
@@ -148,11 +148,11 @@
             }
             const leaves = worker.info.draining || worker.reserved;
             const succeededAt = restarted ? time.now() : undefined;
-            const { expectRun } = options;
+            const { estimateRunMs: expectRun } = options;
             const runs = lostRuns.listLostRuns(worker, {
                 successorSeenAt: succeededAt,
                 hasNextIncarnation: hasNextLife,
-                expectRun,
+                estimateRunMs: expectRun,
             }).filter(run => !run.isProven);
             if (runs.length === 0) {
                 return new Map();
--- a/src/leader/directory.ts
+++ b/src/leader/directory.ts
@@ -19,7 +19,7 @@
 export type AdviceResult =
     | {
         readonly kind: "advised";
-        readonly good: ReadonlyArray<{ readonly workerName: string; readonly ticket: string; }>;
+        readonly suitable: ReadonlyArray<{ readonly workerName: string; readonly ticket: string; }>;
         readonly validMs: number;
     }
     | { readonly kind: "unavailable"; readonly message: string; };
--- a/src/leader/execution.ts
+++ b/src/leader/execution.ts
@@ -1,14 +1,14 @@
 /** Carries out what a pass has decided: stops, and starts whose rows are stored before any order goes out. */
 import * as decisions from "../decisions/index";
 import type * as observe from "../observe/index";
-import type * as bookOfTasks from "./book";
 import type * as entries from "./entries";
+import type * as bookOfTasks from "./jobRegistry";
 import type * as ordersOfTerm from "./orders";
 import type * as contacts from "./reachabilityCheck";
 import type * as units from "./units";
 
 export interface ExecutionOptions {
-    readonly book: bookOfTasks.Book;
+    readonly jobRegistry: bookOfTasks.JobRegistry;
     readonly orders: ordersOfTerm.Orders;
     readonly contact: contacts.ReachabilityCheck;
     readonly log: observe.Log;
@@ -25,7 +25,7 @@
     readonly groups: ReadonlyMap<string, units.GroupOfTasks>;
 }
 
-export function carryOut(options: ExecutionOptions, pass: PlannedPass): void {
+export function executePlan(options: ExecutionOptions, pass: PlannedPass): void {
     pass.plan.stops.forEach(stop => stopGroup(options, pass, stop));
     if (pass.plan.starts.length === 0) {
         return;
@@ -39,7 +39,11 @@
     void options.flush().then(() => options.orders.start(placed));
 }
 
-function stopGroup({ book, log, meter }: ExecutionOptions, { groups }: PlannedPass, stop: decisions.PlannedStop): void {
+function stopGroup(
+    { jobRegistry: book, log, meter }: ExecutionOptions,
+    { groups }: PlannedPass,
+    stop: decisions.PlannedStop,
+): void {
     const { group, forUnit } = stop;
     const claim = decisions.TIER_NAMES[stop.tier];
     const tasks = groups.get(group.key)?.tasks ?? [];
@@ -51,7 +55,7 @@
 }
 
 function placeUnit(
-    { book, log, meter, getWorker }: ExecutionOptions,
+    { jobRegistry: book, log, meter, getWorker }: ExecutionOptions,
     { unit, workerIds }: decisions.PlannedStart,
     tasks: readonly entries.TaskEntry[],
 ): ordersOfTerm.PlacedTask[] {
--- a/src/leader/guarantees.ts
+++ b/src/leader/guarantees.ts
@@ -6,7 +6,7 @@
  * An account's jobs of priority 0, oldest first, as long as their first steps together need no more accelerators than
  * it is guaranteed. Jobs that have not ended count whether they run or wait.
  */
-export function findGuaranteed(
+export function findGuaranteedJobs(
     active: Iterable<entries.JobEntry>,
     getAccount: (name: string) => catalog.Account | undefined,
 ): ReadonlySet<entries.JobEntry> {
--- a/src/leader/handover.ts
+++ b/src/leader/handover.ts
@@ -18,7 +18,7 @@
 import type * as lease from "./lease";
 
 /** A term that is given up. */
-export interface Offer {
+export interface HandoverOffer {
     /** Life of the instance that holds the lease. */
     readonly holder: string;
     readonly token: number;
@@ -34,9 +34,9 @@
     /** Addresses of other instances, as far as they are known. */
     getCandidates(): readonly string[];
     /** `undefined`: it gave no answer, or cannot lead. */
-    ask(candidate: string, offer: Offer, timeoutMs: number): Promise<Candidacy | undefined>;
+    queryCandidate(candidate: string, offer: HandoverOffer, timeoutMs: number): Promise<Candidacy | undefined>;
     /** Tells that the term has ended. */
-    tell(candidate: string, offer: Offer, timeoutMs: number): Promise<void>;
+    notifySuccessor(candidate: string, offer: HandoverOffer, timeoutMs: number): Promise<void>;
 }
 
 export interface HandoverOptions {
@@ -47,7 +47,7 @@
     readonly log: observe.Log;
     readonly power: number;
     readonly signal: AbortSignal;
-    isStoreAway(): boolean;
+    isStoreUnreachable(): boolean;
 }
 
 export interface Handover {
@@ -55,11 +55,11 @@
      * Called when the store may be lost: makes sure of that and looks for a successor, if this instance leads, until
      * the store is back.
      */
-    offer(): Promise<void>;
+    offerLeadership(): Promise<void>;
     /** Whether this instance could lead in place of the one that asks. */
-    answer(offer: Offer): Promise<Candidacy | undefined>;
+    answer(handoverOffer: HandoverOffer): Promise<Candidacy | undefined>;
     /** The other's term has ended. */
-    take(offer: Offer): void;
+    take(handoverOffer: HandoverOffer): void;
 }
 
 /** Answers come within some 10 ms: a read of the store and the way. */
@@ -74,11 +74,11 @@
 export function createHandover(options: HandoverOptions): Handover {
     const { port, lease: held, clock: time, log } = options;
 
-    const findSuccessor = async (offer: Offer): Promise<string | undefined> => {
+    const findSuccessor = async (offer: HandoverOffer): Promise<string | undefined> => {
         const answers = await Promise.all(
             port.getCandidates().map(async candidate => ({
                 candidate,
-                candidacy: await port.ask(candidate, offer, ASK_TIMEOUT_MS),
+                candidacy: await port.queryCandidate(candidate, offer, ASK_TIMEOUT_MS),
             })),
         );
         const strongestFirst = answers
@@ -90,12 +90,12 @@
         const lead = { table: work.Table.LeaderLease, part: work.LEADER_PART, limit: 1 };
         return (await options.store.read(lead, READ_TIMEOUT_MS)).kind === "read";
     };
-    const isDoubtful = () => options.isStoreAway() || held.isRenewalLate();
+    const isDoubtful = () => options.isStoreUnreachable() || held.isRenewalLate();
     let offering = false;
     const offerUntilBack = async () => {
         while (isDoubtful() && !options.signal.aborted) {
             const offer = held.getOffer();
-            if (!offer || (!options.isStoreAway() && await canRead())) {
+            if (!offer || (!options.isStoreUnreachable() && await canRead())) {
                 return;
             }
             // A read of our own at the same time: when the store comes back to all, some instance notices first.
@@ -103,14 +103,14 @@
             if (!reads && successor !== undefined && isDoubtful() && held.getOffer()?.token === offer.token) {
                 log.info("leadHandedOver", { token: offer.token, to: successor });
                 held.cede();
-                await port.tell(successor, offer, ASK_TIMEOUT_MS);
+                await port.notifySuccessor(successor, offer, ASK_TIMEOUT_MS);
                 return;
             }
             await time.sleep(ASK_EVERY_MS, options.signal);
         }
     };
     return {
-        offer: async () => {
+        offerLeadership: async () => {
             if (!offering) {
                 offering = true;
                 await offerUntilBack();
@@ -119,7 +119,7 @@
         },
         answer: async offer => {
             const isCurrent = () => held.getObservation()?.record.holder === offer.holder;
-            if (!isCurrent() || options.isStoreAway()) {
+            if (!isCurrent() || options.isStoreUnreachable()) {
                 return undefined;
             }
             return await canRead() && isCurrent() ? { power: options.power } : undefined;
--- a/src/leader/handoverCalls.ts
+++ b/src/leader/handoverCalls.ts
@@ -12,16 +12,16 @@
     client: calls.HttpClient,
     getCandidates: () => readonly string[],
 ): handover.HandoverPort {
-    const post = (address: string, path: string, offer: handover.Offer, timeoutMs: number) =>
+    const post = (address: string, path: string, offer: handover.HandoverOffer, timeoutMs: number) =>
         client.call({ address, method: "POST", path, body: JSON.stringify(offer), timeoutMs });
     return {
         getCandidates,
-        ask: async (candidate, offer, timeoutMs) => {
+        queryCandidate: async (candidate, offer, timeoutMs) => {
             const outcome = await post(candidate, ASK_PATH, offer, timeoutMs);
             const power = outcome.kind === "answered" && outcome.status === OK ? Number(outcome.body) : NO_POWER;
             return Number.isFinite(power) && power > NO_POWER ? { power } : undefined;
         },
-        tell: async (candidate, offer, timeoutMs) => {
+        notifySuccessor: async (candidate, offer, timeoutMs) => {
             // Without an answer the lease lapses as it would have without a handover.
             await post(candidate, TAKE_PATH, offer, timeoutMs);
         },
@@ -51,9 +51,9 @@
     ];
 }
 
-function decodeOffer(text: string): handover.Offer | undefined {
+function decodeOffer(text: string): handover.HandoverOffer | undefined {
     try {
-        const { holder, token } = JSON.parse(text) as Partial<handover.Offer>;
+        const { holder, token } = JSON.parse(text) as Partial<handover.HandoverOffer>;
         return typeof holder === "string" && holder !== "" && Number.isSafeInteger(token)
             ? { holder, token: token! }
             : undefined;
--- a/src/leader/heldLease.ts
+++ b/src/leader/heldLease.ts
@@ -12,11 +12,11 @@
     /** Carries out a write of the leader: none succeeds once another leader has taken over. */
     transact: renewalsOfTerm.Renewals["transact"];
     /** Whether orders may be given now. */
-    mayOrder(): boolean;
+    mayIssueOrders(): boolean;
     /** Whether leases of running work may be prolonged now: a while longer than orders. */
-    mayProlong(): boolean;
+    mayExtendTaskLeases(): boolean;
     /** Monotonic time after which no earlier leader prolongs any work. */
-    readonly othersSilentAt: number;
+    readonly predecessorsInactiveAt: number;
 }
 
 export interface HeldLease {
@@ -25,18 +25,18 @@
     readonly renewals: renewalsOfTerm.Renewals;
 }
 
-export interface HeldLeaseStart extends Omit<renewalsOfTerm.RenewalsOptions, "clock"> {
+export interface HeldLeaseOptions extends Omit<renewalsOfTerm.RenewalsOptions, "clock"> {
     readonly token: number;
-    readonly othersSilentAt: number;
+    readonly predecessorsInactiveAt: number;
 }
 
 /**
  * How much longer than its lease a leader without the store prolongs what runs. An outage of the store of several
  * seconds then stops no work. A successor waits this much longer before it counts work on a silent worker as gone.
  */
-export const PROLONG_MS = 9_000;
+export const EXTENSION_GRACE_MS = 9_000;
 
-export function createHeldLease(time: clock.Clock, start: HeldLeaseStart): HeldLease {
+export function createHeldLease(time: clock.Clock, start: HeldLeaseOptions): HeldLease {
     const controller = new AbortController();
     // Each task that is being stopped waits on the signal.
     events.setMaxListeners(0, controller.signal);
@@ -49,9 +49,9 @@
             guard: start.guard,
             signal: controller.signal,
             transact: renewals.transact,
-            mayOrder: () => !controller.signal.aborted && renewals.getLeftMs() > 0,
-            mayProlong: () => !controller.signal.aborted && renewals.getLeftMs() + PROLONG_MS > 0,
-            othersSilentAt: start.othersSilentAt,
+            mayIssueOrders: () => !controller.signal.aborted && renewals.getRemainingMs() > 0,
+            mayExtendTaskLeases: () => !controller.signal.aborted && renewals.getRemainingMs() + EXTENSION_GRACE_MS > 0,
+            predecessorsInactiveAt: start.predecessorsInactiveAt,
         },
     };
 }
--- a/src/leader/holderWatch.ts
+++ b/src/leader/holderMonitor.ts
@@ -4,30 +4,30 @@
 import type * as leaseRecord from "./leaseRecord";
 
 /** A watch of one process. */
-export interface HolderWatch {
+export interface ProcessWatch {
     /** Milliseconds since its latest heartbeat; `undefined`: it sends none, or has not yet. */
-    getSilentMs(): number | undefined;
+    getHeartbeatAgeMs(): number | undefined;
     end(): void;
 }
 
-export interface HolderWatcherOptions {
+export interface HolderMonitorOptions {
     readonly clock: clock.Clock;
     readonly log: observe.Log;
     /** Of this process, which does not watch itself. */
     readonly life: string;
     /** Watches the holder's process; `onGone`: it is gone for certain. */
-    watchHolder(address: string, onGone: () => void): HolderWatch;
+    watchHolder(address: string, onExit: () => void): ProcessWatch;
     /** The holder that is watched is gone. */
-    onGone(): void;
+    onExit(): void;
 }
 
-export interface HolderWatcher {
+export interface HolderMonitor {
     /** Watches the holder of a record that was just seen. */
     follow(record: leaseRecord.LeaseRecord): void;
     /** A holder whose process is gone is not waited for: that costs a lease in which nothing starts. */
-    isGone(record: leaseRecord.LeaseRecord): boolean;
+    hasExited(record: leaseRecord.LeaseRecord): boolean;
     /** Whether heartbeats of the holder that is watched have stayed away. */
-    isSilent(): boolean;
+    hasMissedHeartbeats(): boolean;
     end(): void;
 }
 
@@ -36,10 +36,10 @@
 /** The last renewal of a process that has gone may be seen this much later than its end. */
 const LAST_RENEWAL_MS = 200;
 
-export function createHolderWatcher(options: HolderWatcherOptions): HolderWatcher {
+export function createHolderMonitor(options: HolderMonitorOptions): HolderMonitor {
     const { clock: time, log } = options;
     let watchedHolder = "";
-    let watch: HolderWatch | undefined;
+    let watch: ProcessWatch | undefined;
     /** A holder whose process was told to be gone, and when. */
     let gone: { readonly holder: string; readonly toldAt: number; } | undefined;
 
@@ -69,11 +69,11 @@
             watch = options.watchHolder(record.watchAddress, () => {
                 log.warn("holderGone", { instance: record.instance, token: record.token });
                 gone = { holder: record.holder, toldAt: time.now() };
-                options.onGone();
+                options.onExit();
             });
         },
-        isGone: record => record.holder === gone?.holder,
-        isSilent: () => (watch?.getSilentMs() ?? 0) >= SILENCE_MS,
+        hasExited: record => record.holder === gone?.holder,
+        hasMissedHeartbeats: () => (watch?.getHeartbeatAgeMs() ?? 0) >= SILENCE_MS,
         end: () => watch?.end(),
     };
 }
--- a/src/leader/book.ts
+++ b/src/leader/jobRegistry.ts
@@ -16,35 +16,35 @@
 import * as lossesOfWorkers from "./workerLosses";
 import type * as port from "./workerPort";
 
-export interface BookListener {
-    occurrenceChanged(occurrence: entries.OccurrenceEntry): void;
-    jobChanged(job: entries.JobEntry): void;
+export interface JobRegistryListener {
+    onOccurrenceChanged(occurrence: entries.OccurrenceEntry): void;
+    onJobChanged(job: entries.JobEntry): void;
     /** The task is now `stopping`: its run must be stopped and settled. */
-    stopWanted(task: entries.TaskEntry): void;
+    onStopRequested(task: entries.TaskEntry): void;
     /** The task is done; its current run is not needed any more, and its room counts until its end is seen. */
-    runObsolete(task: entries.TaskEntry): void;
+    onRunObsolete(task: entries.TaskEntry): void;
     /** Something may now be startable. */
-    changed(): void;
+    onChanged(): void;
 }
 
-export interface BookOptions {
+export interface JobRegistryOptions {
     readonly clock: clock.Clock;
     readonly log: observe.Log;
     readonly meter: observe.Meter;
-    readonly listener: BookListener;
+    readonly listener: JobRegistryListener;
     /** Of the term. */
     readonly signal: AbortSignal;
     getQueue(name: string): catalog.Queue | undefined;
-    getExpected(job: entries.JobEntry): outcomes.ExpectedTimes;
+    getExpectedTimes(job: entries.JobEntry): outcomes.ExpectedTimes;
     /** How long a run of the step's tasks is expected to take. */
-    expectRun(step: entries.StepEntry): number;
+    estimateRunMs(step: entries.StepEntry): number;
     /** All that the leader knows. */
     getWorkers(): Iterable<entries.WorkerEntry>;
-    readonly leftOut: ReadonlySet<decisions.Mechanism>;
-    readonly thrownAway: thrownAways.ThrownAway;
+    readonly disabledMechanisms: ReadonlySet<decisions.Mechanism>;
+    readonly thrownAway: thrownAways.ThrownAwayWork;
 }
 
-export interface Book extends restore.Restoring {
+export interface JobRegistry extends restore.Restorer {
     readonly jobs: ReadonlyMap<string, entries.JobEntry>;
     /** Jobs that are not over. */
     readonly active: ReadonlySet<entries.JobEntry>;
@@ -52,16 +52,16 @@
     cancelJob(jobId: string): void;
     getTask(name: string): entries.TaskEntry | undefined;
     /** Creates the occurrences that are due; returns the wall-clock time at which the next one is. */
-    releaseDue(): number | undefined;
+    releaseDueOccurrences(): number | undefined;
     /** Chooses a worker for each member; the rows must be stored before any order goes out. */
     place(tasks: readonly entries.TaskEntry[], workers: readonly entries.WorkerEntry[]): void;
     confirmRunning(task: entries.TaskEntry): void;
     /** The current run has not begun and never will. */
-    takeBack(task: entries.TaskEntry): void;
+    revertPlacement(task: entries.TaskEntry): void;
     requestStop(task: entries.TaskEntry, reason: string): void;
-    takeEnd(worker: entries.WorkerEntry, end: port.TaskEnd): void;
+    recordRunEnd(worker: entries.WorkerEntry, end: port.TaskEnd): void;
     /** Takes note of a task's progress, as its worker tells it. */
-    takeProgress(task: entries.TaskEntry, told: port.RunningTask): void;
+    recordProgress(task: entries.TaskEntry, told: port.RunningTask): void;
     /** The worker's life is over, or all that ran there has lapsed. */
     loseTasksOf(
         worker: entries.WorkerEntry,
@@ -74,7 +74,7 @@
     forgetJob(job: entries.JobEntry): void;
 }
 
-export function createBook(options: BookOptions): Book {
+export function createJobRegistry(options: JobRegistryOptions): JobRegistry {
     const { clock: time, log, meter, listener } = options;
     const jobs = new Map<string, entries.JobEntry>();
     const active = new Set<entries.JobEntry>();
@@ -104,9 +104,9 @@
         log,
         meter,
         listener,
-        getExpected: options.getExpected,
-        expectRun: options.expectRun,
-        disabledMechanisms: options.leftOut,
+        getExpected: options.getExpectedTimes,
+        estimateRunMs: options.estimateRunMs,
+        disabledMechanisms: options.disabledMechanisms,
         onJobEnded: job => active.delete(job),
         stopOccurrence: stopAll,
     });
@@ -115,8 +115,8 @@
         task.phase = "waiting";
         task.waitingSince = time.now();
         task.stopAcceptedAt = undefined;
-        listener.occurrenceChanged(task.step.occurrence);
-        listener.changed();
+        listener.onOccurrenceChanged(task.step.occurrence);
+        listener.onChanged();
     };
 
     /** A gang whose member is no longer at work cannot go on: the others are stopped, to begin again together. */
@@ -149,8 +149,8 @@
     };
     const countGangWait = (step: entries.StepEntry) => {
         const queue = step.occurrence.job.queue.name;
-        const coreSeconds = options.thrownAway.addWait(step);
-        meter.increment("thrown_away_core_seconds_total", { queue, cause: thrownAways.WAIT_CAUSE }, coreSeconds);
+        const coreSeconds = options.thrownAway.addGangWait(step);
+        meter.increment("thrown_away_core_seconds_total", { queue, cause: thrownAways.GANG_WAIT_CAUSE }, coreSeconds);
     };
 
     /**
@@ -165,8 +165,8 @@
         const members = task.step.spec.gang ? task.step.tasks : [task];
         members.forEach(dropRun);
         markDone(task);
-        members.filter(member => member.worker).forEach(listener.runObsolete);
-        listener.changed();
+        members.filter(member => member.worker).forEach(listener.onRunObsolete);
+        listener.onChanged();
     };
     /** The task's current run, which may be under way, is not needed any more. */
     const dropRun = (task: entries.TaskEntry) => {
@@ -193,16 +193,16 @@
         meter,
         signal: options.signal,
         getWorkers: options.getWorkers,
-        expectRun: options.expectRun,
+        estimateRunMs: options.estimateRunMs,
         countThrownAway,
         requeue: toWaiting,
         stopOtherMembers: breakGang,
-        stopWanted: listener.stopWanted,
+        onStopRequested: listener.onStopRequested,
         failOccurrence: task => endFailed(task.step.occurrence),
-        occurrenceChanged: listener.occurrenceChanged,
+        onOccurrenceChanged: listener.onOccurrenceChanged,
     });
 
-    const restoring = restore.createRestoring({
+    const restoring = restore.createRestorer({
         clock: time,
         active,
         openOccurrence,
@@ -210,10 +210,10 @@
         endFailed,
         requestStop: (task, reason) => book.requestStop(task, reason),
         stopAll,
-        judge: losses.enforceCrashLimit,
+        enforceCrashLimit: losses.enforceCrashLimit,
     });
 
-    const book: Book = {
+    const book: JobRegistry = {
         jobs,
         active,
         addJob: submission => {
@@ -225,7 +225,7 @@
             const job = entries.createJobEntry(submission, queue, time.now());
             jobs.set(submission.jobId, job);
             active.add(job);
-            listener.changed();
+            listener.onChanged();
             return job;
         },
         ...restoring,
@@ -242,7 +242,7 @@
             }
         },
         getTask: name => tasks.get(name),
-        releaseDue: () => {
+        releaseDueOccurrences: () => {
             const now = time.wallTime();
             let next: number | undefined;
             for (const job of active) {
@@ -275,7 +275,7 @@
                 task.pacePercent = 100;
                 entries.assign(task, workers[index]!);
             });
-            listener.occurrenceChanged(members[0]!.step.occurrence);
+            listener.onOccurrenceChanged(members[0]!.step.occurrence);
         },
         confirmRunning: task => {
             if (task.phase !== "ordered") {
@@ -287,10 +287,10 @@
             const { job } = task.step.occurrence;
             if (job.state === "queued") {
                 job.state = "running";
-                listener.jobChanged(job);
+                listener.onJobChanged(job);
             }
         },
-        takeBack: task => {
+        revertPlacement: task => {
             entries.unassign(task);
             if (task.phase === "done") {
                 return;
@@ -313,7 +313,7 @@
                     task.phase = "stopping";
                     task.stopReason = reason;
                     task.stopAcceptedAt = undefined;
-                    listener.stopWanted(task);
+                    listener.onStopRequested(task);
                     // The other members may well be where they were started.
                     breakGang(task, reason === entries.MISSING_RUN_REASON ? "gangIncomplete" : reason);
                     break;
@@ -323,7 +323,7 @@
                     break;
             }
         },
-        takeEnd: (worker, end) => {
+        recordRunEnd: (worker, end) => {
             const task = tasks.get(end.task);
             if (!task || task.run !== end.run) {
                 if (task && end.run < task.run) {
@@ -340,7 +340,7 @@
             if (isCurrent) {
                 entries.unassign(task);
             }
-            listener.changed();
+            listener.onChanged();
             if (task.phase === "done") {
                 return;
             }
@@ -357,7 +357,9 @@
                 countThrownAway(task, wasStopping ? thrownAways.getCause(task.stopReason) : end.how);
             }
             if (wasStopping && task.stopReason.startsWith("preempted")) {
-                task.backoffUntil = options.leftOut.has("rests") ? 0 : time.now() + decisions.PREEMPTION_BACKOFF_MS;
+                task.backoffUntil = options.disabledMechanisms.has("rests")
+                    ? 0
+                    : time.now() + decisions.PREEMPTION_BACKOFF_MS;
                 task.preemptions++;
             }
             toWaiting(task);
@@ -378,7 +380,7 @@
             breakGang(task, `gang member ended: ${end.how}`);
             losses.enforceCrashLimit(task);
         },
-        takeProgress: (task, told) => {
+        recordProgress: (task, told) => {
             keepSaved(task, told.saved);
             task.recentFigure = told.recentFigure;
             task.lastReportAt = time.now();
--- a/src/leader/lease.ts
+++ b/src/leader/lease.ts
@@ -11,7 +11,7 @@
 import * as rows from "../rows/index";
 import * as work from "../work/index";
 import * as heldLease from "./heldLease";
-import * as holderWatch from "./holderWatch";
+import * as holderWatch from "./holderMonitor";
 import * as leaseRecord from "./leaseRecord";
 import * as renewals from "./renewals";
 import * as waitingCounts from "./waitingCounts";
@@ -36,13 +36,13 @@
     /** Where this instance takes requests that others pass on; empty: nowhere. */
     readonly peerAddress: string;
     /** Watches the holder's process; `onGone`: it is gone for certain. */
-    watchHolder(address: string, onGone: () => void): holderWatch.HolderWatch;
+    watchHolder(address: string, onGone: () => void): holderWatch.ProcessWatch;
     /** Processor time that this instance gets, in cores. */
     readonly power: number;
     readonly signal: AbortSignal;
-    getWaiting(): Readonly<Record<string, number>> | undefined;
+    getWaitingCounts(): Readonly<Record<string, number>> | undefined;
     /** A renewal has had no answer for a while: the store may be out of reach. */
-    onRenewalLate(): void;
+    onRenewalOverdue(): void;
     onElected(leadership: heldLease.Leadership): void;
 }
 
@@ -50,7 +50,7 @@
     getObservation(): LeaseObservation | undefined;
     isLeading(): boolean;
     /** Ends the term when another leader's token was met. */
-    depose(reason: string): void;
+    endTerm(reason: string): void;
     /** The term that this instance could give up; `undefined`: it does not lead. */
     getOffer(): { readonly holder: string; readonly token: number; } | undefined;
     /** Whether this instance leads and could not renew its lease when it was due. */
@@ -88,12 +88,12 @@
     /** Token of a term whose holder has said that it is over; the same process may lead again under another. */
     let cededToken: number | undefined;
     let wake: (() => void) | undefined;
-    const holder = holderWatch.createHolderWatcher({
+    const holder = holderWatch.createHolderMonitor({
         clock: time,
         log,
         life: options.life,
         watchHolder: options.watchHolder,
-        onGone: () => wake?.(),
+        onExit: () => wake?.(),
     });
 
     const observe = (row: rows.Row) => {
@@ -164,12 +164,12 @@
      * A machine that loses power, or a cut, ends both the renewals and the heartbeats; a slow store delays the renewals
      * only. The fencing token makes a takeover safe at any time, so that both together are enough to be sooner.
      */
-    const getShortenedMs = () => holder.isSilent() ? renewals.LEASE_MS - SILENT_LEASE_MS : 0;
+    const getShortenedMs = () => holder.hasMissedHeartbeats() ? renewals.LEASE_MS - SILENT_LEASE_MS : 0;
     const isFree = (): boolean => {
         if (!observed) {
             return true;
         }
-        if (isHolderOver(observed) || holder.isGone(observed.record)) {
+        if (isHolderOver(observed) || holder.hasExited(observed.record)) {
             return true;
         }
         const now = time.now();
@@ -183,7 +183,7 @@
         leaseMs = renewals.LEASE_MS,
         waiting?: Readonly<Record<string, number>>,
     ): leaseRecord.LeaseRecord => {
-        const fitted = waiting && waitingCounts.fitCounts(waiting);
+        const fitted = waiting && waitingCounts.truncateCounts(waiting);
         return {
             holder: options.life,
             instance: options.instance,
@@ -209,7 +209,7 @@
         // A holder that is still there may have renewed a moment before its lease was taken.
         return isHolderOver(observed)
             ? Math.max(now, inheritedUntil)
-            : now + observed.record.leaseMs + heldLease.PROLONG_MS;
+            : now + observed.record.leaseMs + heldLease.EXTENSION_GRACE_MS;
     };
     /**
      * Whether the lease has not been renewed since, by a read: at a store that is slow, what is followed comes late. Without
@@ -254,10 +254,10 @@
             token,
             guard: { ...leaseRecord.TOKEN_KEY, version },
             sentAt,
-            othersSilentAt,
+            predecessorsInactiveAt: othersSilentAt,
             createRow: leaseMs => {
                 return leaseRecord.encodeRecord(
-                    createRecord(token, othersSilentAt, leaseMs, options.getWaiting()),
+                    createRecord(token, othersSilentAt, leaseMs, options.getWaitingCounts()),
                 );
             },
             onRenewed: (row, renewedVersion) => {
@@ -269,12 +269,12 @@
                     };
                 }
             },
-            onDeposed: reason => {
+            onSuperseded: reason => {
                 if (term === held) {
                     endTerm(reason);
                 }
             },
-            onLate: options.onRenewalLate,
+            onOverdue: options.onRenewalOverdue,
         });
         return held;
     };
@@ -292,10 +292,10 @@
     const run = async () => {
         while (!options.signal.aborted && !released) {
             if (term) {
-                if (term.renewals.getDueMs() <= 0) {
+                if (term.renewals.getMsUntilDue() <= 0) {
                     term.renewals.send(options.store);
                 }
-                await time.sleep(Math.max(1, Math.min(TICK_MS, term.renewals.getDueMs())), options.signal);
+                await time.sleep(Math.max(1, Math.min(TICK_MS, term.renewals.getMsUntilDue())), options.signal);
                 continue;
             }
             if (knowsTable && mayTake()) {
@@ -314,9 +314,9 @@
     return {
         getObservation: () => observed,
         isLeading: () => term !== undefined,
-        depose: endTerm,
+        endTerm: endTerm,
         getOffer: () => term && { holder: options.life, token: term.leadership.token },
-        isRenewalLate: () => term?.renewals.isLate() ?? false,
+        isRenewalLate: () => term?.renewals.isOverdue() ?? false,
         cede: () => endTerm("another instance reaches the store"),
         takeFrom: token => {
             cededToken = token;
@@ -328,9 +328,9 @@
             if (!current) {
                 return;
             }
-            const waiting = options.getWaiting();
+            const waiting = options.getWaitingCounts();
             endTerm("this instance stops");
-            const { token, othersSilentAt } = current.leadership;
+            const { token, predecessorsInactiveAt: othersSilentAt } = current.leadership;
             const record = {
                 ...createRecord(token, othersSilentAt, undefined, waiting),
                 holder: "",
--- a/src/leader/lostRuns.ts
+++ b/src/leader/lostRuns.ts
@@ -30,12 +30,16 @@
     /** The worker has started again under its name, so it may have taken a start that is still without an answer. */
     readonly hasNextIncarnation?: boolean;
     /** How long a run of the step's tasks is expected to take. */
-    expectRun(step: entries.StepEntry): number;
+    estimateRunMs(step: entries.StepEntry): number;
 }
 
 /** Those that may have been on the worker when it was lost. */
 export function listLostRuns(worker: entries.WorkerEntry, options: ListOptions): LostRun[] {
-    const { successorSeenAt: succeededAt = Infinity, hasNextIncarnation: hasNextLife = false, expectRun } = options;
+    const {
+        successorSeenAt: succeededAt = Infinity,
+        hasNextIncarnation: hasNextLife = false,
+        estimateRunMs: expectRun,
+    } = options;
     return [...worker.tasks].filter(task => mayHaveRun(task, hasNextLife)).map(task => {
         const overBy = getOverBy(task, worker, succeededAt);
         return {
--- a/src/leader/machines.ts
+++ b/src/leader/machines.ts
@@ -46,8 +46,8 @@
 }
 
 /** Where waves are read and their state is told. */
-export interface WaveBoard {
+export interface WavePort {
     /** Waves that are not completed, each with the monotonic time at which this instance learned of it. */
-    getOpen(): ReadonlyArray<{ readonly wave: Wave; readonly knownAt: number; }>;
-    report(wave: number, state: "running" | "completed", timeoutMs: number): Promise<boolean>;
+    getIncomplete(): ReadonlyArray<{ readonly wave: Wave; readonly knownAt: number; }>;
+    reportState(wave: number, state: "running" | "completed", timeoutMs: number): Promise<boolean>;
 }
--- a/src/leader/orders.ts
+++ b/src/leader/orders.ts
@@ -2,16 +2,16 @@
 import type * as clock from "../clock/index";
 import type * as decisions from "../decisions/index";
 import type * as observe from "../observe/index";
-import type * as book from "./book";
 import * as crashHistory from "./crashHistory";
 import type * as entries from "./entries";
+import type * as book from "./jobRegistry";
 import * as contact from "./reachabilityCheck";
 import * as suspects from "./suspects";
 import type * as port from "./workerPort";
 import type * as workerSession from "./workerSession";
 
 export interface OrdersOptions {
-    readonly book: book.Book;
+    readonly jobRegistry: book.JobRegistry;
     readonly clock: clock.Clock;
     readonly log: observe.Log;
     readonly meter: observe.Meter;
@@ -64,7 +64,7 @@
 }
 
 export function createOrders(options: OrdersOptions): Orders {
-    const { book: taskBook, clock: time, log, meter } = options;
+    const { jobRegistry: taskBook, clock: time, log, meter } = options;
 
     const waiting: PlacedTask[] = [];
     let inFlight = 0;
@@ -98,7 +98,7 @@
                     ? worker.quarantinedUntil
                     : time.now() + contact.UNREACHABLE_QUARANTINE_MS;
                 log.info("startWithdrawn", { task: task.name, run, worker: worker.id, answers });
-                taskBook.takeBack(task);
+                taskBook.revertPlacement(task);
             }
             return;
         }
@@ -182,7 +182,7 @@
     const takeBackStart = (task: entries.TaskEntry) => {
         // A look may have confirmed or a request stopped it in the meantime; then that decides.
         if (task.phase === "ordered" || task.phase === "stopping") {
-            taskBook.takeBack(task);
+            taskBook.revertPlacement(task);
         }
     };
 
--- a/src/leader/outcomes.ts
+++ b/src/leader/outcomes.ts
@@ -19,12 +19,12 @@
     readonly log: observe.Log;
     readonly meter: observe.Meter;
     readonly listener: {
-        occurrenceChanged(occurrence: entries.OccurrenceEntry): void;
-        jobChanged(job: entries.JobEntry): void;
+        onOccurrenceChanged(occurrence: entries.OccurrenceEntry): void;
+        onJobChanged(job: entries.JobEntry): void;
     };
     getExpected(job: entries.JobEntry): ExpectedTimes;
     /** How long a run of the step's tasks is expected to take. */
-    expectRun(step: entries.StepEntry): number;
+    estimateRunMs(step: entries.StepEntry): number;
     readonly disabledMechanisms: ReadonlySet<decisions.Mechanism>;
     onJobEnded(job: entries.JobEntry): void;
     /** Stops what still runs of an occurrence that is over. */
@@ -49,7 +49,7 @@
         job.state = state;
         job.endedAt = time.wallTime();
         options.onJobEnded(job);
-        options.listener.jobChanged(job);
+        options.listener.onJobChanged(job);
         const { account } = job.submission;
         const queue = job.queue.name;
         const ageMs = Math.round(job.endedAt - job.submission.acceptedAt);
@@ -73,7 +73,7 @@
         occurrence.isEnded = true;
         job.endedOccurrences.add(occurrence.number);
         job.failed ||= failed;
-        options.listener.occurrenceChanged(occurrence);
+        options.listener.onOccurrenceChanged(occurrence);
         if (failed) {
             options.stopOccurrence(occurrence, "jobFailed");
         }
@@ -81,7 +81,7 @@
             endJob(job, job.failed ? "failed" : "completed");
             return;
         }
-        options.listener.jobChanged(job);
+        options.listener.onJobChanged(job);
     };
 
     const markStepDone = (step: entries.StepEntry) => {
@@ -109,7 +109,7 @@
                 step.doneCount++;
             }
         }
-        options.listener.occurrenceChanged(step.occurrence);
+        options.listener.onOccurrenceChanged(step.occurrence);
         if (entries.isStepDone(step)) {
             markStepDone(step);
         }
@@ -118,7 +118,7 @@
     const countFailure = (task: entries.TaskEntry, run: number, worker: entries.WorkerEntry) => {
         const { step } = task;
         if (!step.spec.lasting) {
-            blame.recordFailedRun(worker, task, options.expectRun(step), {
+            blame.recordFailedRun(worker, task, options.estimateRunMs(step), {
                 now: time.now(),
                 disabledMechanisms: options.disabledMechanisms,
             });
--- a/src/leader/passTimer.ts
+++ b/src/leader/passTimer.ts
@@ -3,9 +3,9 @@
 
 export interface PassTimer {
     /** Has a pass made after so long at the latest, or after what the latest one took asks for. */
-    plan(leastMs: number): void;
+    schedulePass(leastMs: number): void;
     /** What the latest pass took. */
-    noteDuration(ms: number): void;
+    recordDuration(ms: number): void;
 }
 
 /**
@@ -20,7 +20,7 @@
     let passMs = 0;
     let nextPassAt = Infinity;
     return {
-        plan: leastMs => {
+        schedulePass: leastMs => {
             const delayMs = Math.max(leastMs, Math.min(MOST_SPACING_MS, PASS_SPACING * passMs));
             const at = time.now() + delayMs;
             if (nextPassAt <= at) {
@@ -35,7 +35,7 @@
                 }
             });
         },
-        noteDuration: ms => {
+        recordDuration: ms => {
             passMs = ms;
         },
     };
--- a/src/leader/placeable.ts
+++ b/src/leader/placementFilter.ts
@@ -4,25 +4,25 @@
 import type * as entries from "./entries";
 import * as suspects from "./suspects";
 
-export interface PlaceableOptions {
+export interface PlacementFilterOptions {
     readonly catalog: Pick<catalogs.CurrentCatalog, "get">;
     /** How long after a worker's capacity has shrunk a start may count on what it was. */
     readonly capacityMs: number;
-    readonly leftOut: ReadonlySet<decisions.Mechanism>;
+    readonly disabledMechanisms: ReadonlySet<decisions.Mechanism>;
     hasSession(worker: entries.WorkerEntry): boolean;
 }
 
 /** From the decision until a start reaches its worker. */
 const ORDER_WAY_MS = 600;
 
-export interface Placeable {
+export interface PlacementFilter {
     /** Whether tasks may be placed there. */
     isPlaceable(worker: entries.WorkerEntry, now: number): boolean;
     /** Whether what was placed there before may still be sent: storing its row may have taken seconds. */
     mayStart(worker: entries.WorkerEntry, now: number): boolean;
 }
 
-export function createPlaceable(options: PlaceableOptions): Placeable {
+export function createPlacementFilter(options: PlacementFilterOptions): PlacementFilter {
     const refusesOverload = ({ info }: entries.WorkerEntry) =>
         options.catalog.get()?.services.some(service => service.name === info.service && service.refusesOverload)
             ?? false;
@@ -35,7 +35,7 @@
             && worker.unknownRunCount === 0
             && worker.quarantinedUntil <= now && options.hasSession(worker)
             && (isReported(worker, now, options.capacityMs - ORDER_WAY_MS) || refusesOverload(worker))
-            && (options.leftOut.has("isolation") || !suspects.hasUnsettledSuspect(worker)),
+            && (options.disabledMechanisms.has("isolation") || !suspects.hasUnsettledSuspect(worker)),
         mayStart: (worker, now) =>
             !worker.info.draining
             && (refusesOverload(worker)
--- a/src/leader/progressWriter.ts
+++ b/src/leader/progressWriter.ts
@@ -11,7 +11,7 @@
 import * as work from "../work/index";
 import type * as entries from "./entries";
 import type * as heldLease from "./heldLease";
-import * as rowsOf from "./rowsOf";
+import * as rowsOf from "./progressRows";
 
 export interface ProgressWriterOptions {
     readonly store: rows.RowStore;
@@ -20,7 +20,7 @@
     readonly meter: observe.Meter;
     readonly leadership: Pick<heldLease.Leadership, "guard" | "transact" | "signal">;
     /** Another leader has taken over. */
-    onDeposed(): void;
+    onSuperseded(): void;
 }
 
 export interface ProgressWriter {
@@ -146,7 +146,7 @@
                 return true;
             case "conflict":
                 if (!adoptVersions(options, batch, outcome.rows)) {
-                    options.onDeposed();
+                    options.onSuperseded();
                     return false;
                 }
                 break;
--- a/src/leader/reconcile.ts
+++ b/src/leader/reconcile.ts
@@ -1,13 +1,13 @@
 /** Compares what a worker lists with what the book holds for it. */
 import type * as clock from "../clock/index";
 import type * as observe from "../observe/index";
-import type * as book from "./book";
 import * as entries from "./entries";
+import type * as book from "./jobRegistry";
 import type * as port from "./workerPort";
 import type * as workerSession from "./workerSession";
 
 export interface ReconcileOptions {
-    readonly book: book.Book;
+    readonly jobRegistry: book.JobRegistry;
     readonly clock: clock.Clock;
     readonly log: observe.Log;
     /** Something runs there that the book does not hold: it must be stopped. */
@@ -19,14 +19,14 @@
     worker: entries.WorkerEntry,
     lists: workerSession.PollResult,
 ): void {
-    const { book: taskBook } = options;
+    const { jobRegistry: taskBook } = options;
     const present = new Set<entries.TaskEntry>();
     let strangers = 0;
     for (const told of lists.running) {
         const task = taskBook.getTask(told.task);
         if (task?.worker === worker && task.run === told.run) {
             present.add(task);
-            taskBook.takeProgress(task, told);
+            taskBook.recordProgress(task, told);
             continue;
         }
         strangers++;
@@ -35,7 +35,7 @@
     }
     worker.unknownRunCount = strangers;
     for (const end of lists.ended) {
-        taskBook.takeEnd(worker, end);
+        taskBook.recordRunEnd(worker, end);
     }
     if (lists.isEndListComplete) {
         settleMissing(options, worker, lists.sentAt, present);
@@ -66,12 +66,12 @@
             case "stopping":
                 if (task.stopAcceptedAt !== undefined && task.stopAcceptedAt < sentAt) {
                     options.log.info("orderSettled", { task: task.name, run: task.run, worker: worker.id });
-                    options.book.takeBack(task);
+                    options.jobRegistry.revertPlacement(task);
                 }
                 break;
             case "ordered":
                 if (task.startTimedOutAt !== undefined && task.startTimedOutAt < sentAt) {
-                    options.book.requestStop(task, "startUnanswered");
+                    options.jobRegistry.requestStop(task, "startUnanswered");
                 }
                 break;
             case "waiting":
@@ -84,9 +84,9 @@
 function settleOne(options: ReconcileOptions, worker: entries.WorkerEntry, task: entries.TaskEntry): void {
     if (task.phase === "done") {
         // A gang's other member has ended for it.
-        options.book.takeBack(task);
+        options.jobRegistry.revertPlacement(task);
         return;
     }
     options.log.warn("taskMissing", { task: task.name, run: task.run, worker: worker.id });
-    options.book.requestStop(task, entries.MISSING_RUN_REASON);
+    options.jobRegistry.requestStop(task, entries.MISSING_RUN_REASON);
 }
--- a/src/leader/renewals.ts
+++ b/src/leader/renewals.ts
@@ -42,9 +42,9 @@
     /** The row was written. */
     onRenewed(row: rows.RowPut, version: number): void;
     /** Another leader's token stands in the store. */
-    onDeposed(reason: string): void;
+    onSuperseded(reason: string): void;
     /** A renewal has had no answer for a while: the store may be out of reach. */
-    onLate(): void;
+    onOverdue(): void;
 }
 
 export interface Renewals {
@@ -57,10 +57,10 @@
     /** Renews the lease by itself; does not wait for the answer. */
     send(store: rows.RowStore): void;
     /** Milliseconds until a renewal is due; at most 0: now. */
-    getDueMs(): number;
+    getMsUntilDue(): number;
     /** How much longer the term may give orders. */
-    getLeftMs(): number;
-    isLate(): boolean;
+    getRemainingMs(): number;
+    isOverdue(): boolean;
 }
 
 interface SentRenewal {
@@ -110,7 +110,7 @@
         open.add(sent);
         lastSent = sent;
         nextAt = sentAt.monotonicMs + RENEW_EVERY_MS;
-        const cancelLate = time.setTimer(LATE_MS, options.onLate);
+        const cancelLate = time.setTimer(LATE_MS, options.onOverdue);
         const row = options.createRow(sent.leaseMs);
         return {
             row,
@@ -134,13 +134,13 @@
                 const { guard } = options;
                 const token = outcome.rows.find(found => found.table === guard.table && found.key === guard.key);
                 if (token?.version !== guard.version) {
-                    options.onDeposed("another leader's token stands in the store");
+                    options.onSuperseded("another leader's token stands in the store");
                 }
                 break;
             }
             case "refused":
             case "unknown":
-                log.warn("leaseNotRenewed", { why: outcome.message, leftMs: Math.round(renewals.getLeftMs()) });
+                log.warn("leaseNotRenewed", { why: outcome.message, leftMs: Math.round(renewals.getRemainingMs()) });
                 nextAt = Math.min(nextAt, time.now() + RETRY_PAUSE_MS);
                 break;
         }
@@ -149,7 +149,7 @@
         transact: async (store, { conditions = [], puts = [], removals = [] }, timeoutMs) => {
             const guarded = [options.guard, ...conditions];
             const mayRenew = guarded.length + puts.length + removals.length < MOST_ENTRIES;
-            const renewal = mayRenew && renewals.getDueMs() <= 0 ? begin() : undefined;
+            const renewal = mayRenew && renewals.getMsUntilDue() <= 0 ? begin() : undefined;
             const sentAt = time.now();
             const outcome = await store.transact({
                 conditions: guarded,
@@ -165,9 +165,9 @@
             const timeoutMs = CALL_TIMEOUT_MS + ANSWERS_IN_LEASE * getAnswerMs();
             void store.transact({ conditions: [options.guard], puts: [row], removals: [] }, timeoutMs).then(settleOne);
         },
-        getDueMs: () => nextAt - time.now(),
-        getLeftMs: () => renewed.leaseMs - LEASE_MARGIN_MS - clock.getElapsedMs(time, renewed.sentAt),
-        isLate: () => time.now() - renewed.sentAt.monotonicMs >= RENEW_EVERY_MS + LATE_MS,
+        getMsUntilDue: () => nextAt - time.now(),
+        getRemainingMs: () => renewed.leaseMs - LEASE_MARGIN_MS - clock.getElapsedMs(time, renewed.sentAt),
+        isOverdue: () => time.now() - renewed.sentAt.monotonicMs >= RENEW_EVERY_MS + LATE_MS,
     };
     return renewals;
 }
--- a/src/leader/restore.ts
+++ b/src/leader/restore.ts
@@ -4,7 +4,7 @@
 import * as crashHistory from "./crashHistory";
 import * as entries from "./entries";
 
-export interface RestoringOptions {
+export interface RestorerOptions {
     readonly clock: clock.Clock;
     /** Jobs that are not over. */
     readonly active: Set<entries.JobEntry>;
@@ -14,10 +14,10 @@
     requestStop(task: entries.TaskEntry, reason: string): void;
     stopAll(occurrence: entries.OccurrenceEntry, reason: string): void;
     /** Gives the task up if too many workers have crashed under it. */
-    judge(task: entries.TaskEntry): void;
+    enforceCrashLimit(task: entries.TaskEntry): void;
 }
 
-export interface Restoring {
+export interface Restorer {
     /** Puts a job where its stored progress says it is. */
     restoreJob(job: entries.JobEntry, progress: work.JobProgress, version: number): void;
     restoreOccurrence(
@@ -29,7 +29,7 @@
     ): void;
 }
 
-export function createRestoring(options: RestoringOptions): Restoring {
+export function createRestorer(options: RestorerOptions): Restorer {
     const { active } = options;
 
     const restoreTask = (
@@ -60,7 +60,7 @@
     };
     /** The leader that counted its last attempt may have been lost before it stored the end of the job. */
     const judgeRestored = (task: entries.TaskEntry) => {
-        options.judge(task);
+        options.enforceCrashLimit(task);
         const { step } = task;
         const { maxAttempts } = step.occurrence.job.queue;
         if (!step.spec.lasting && !task.worker && task.failures >= maxAttempts) {
--- a/src/leader/retention.ts
+++ b/src/leader/retention.ts
@@ -8,16 +8,16 @@
 import type * as observe from "../observe/index";
 import type * as rows from "../rows/index";
 import * as work from "../work/index";
-import type * as book from "./book";
 import type * as entries from "./entries";
 import type * as heldLease from "./heldLease";
+import type * as book from "./jobRegistry";
 
 export interface RetentionOptions {
     readonly store: rows.RowStore;
     readonly clock: clock.Clock;
     readonly log: observe.Log;
     readonly leadership: heldLease.Leadership;
-    readonly book: book.Book;
+    readonly jobRegistry: book.JobRegistry;
     /** How long the state of an ended job can be asked for. */
     readonly retentionMs: number;
 }
@@ -31,22 +31,22 @@
     const { signal } = options.leadership;
     while (!signal.aborted) {
         await options.clock.sleep(CHECK_EVERY_MS, signal);
-        if (signal.aborted || !options.leadership.mayOrder()) {
+        if (signal.aborted || !options.leadership.mayIssueOrders()) {
             continue;
         }
         const before = options.clock.wallTime() - options.retentionMs;
-        const old = [...options.book.jobs.values()]
+        const old = [...options.jobRegistry.jobs.values()]
             .filter(job => job.endedAt > 0 && job.endedAt < before && !hasPlacedTask(job))
             .slice(0, JOBS_PER_CHECK);
         let removed = 0;
         for (const job of old) {
             if (await removeRows(options, job)) {
-                options.book.forgetJob(job);
+                options.jobRegistry.forgetJob(job);
                 removed++;
             }
         }
         if (removed > 0) {
-            options.log.info("jobsForgotten", { removed, left: options.book.jobs.size });
+            options.log.info("jobsForgotten", { removed, left: options.jobRegistry.jobs.size });
         }
     }
 }
--- a/src/leader/slowWorkers.ts
+++ b/src/leader/slowWorkers.ts
@@ -1,8 +1,8 @@
 /** After a look: finds out whether the worker has turned slow, and moves what is better off elsewhere. */
 import * as decisions from "../decisions/index";
 import type * as observe from "../observe/index";
-import type * as book from "./book";
 import type * as entries from "./entries";
+import type * as book from "./jobRegistry";
 import * as units from "./units";
 
 /** A slow worker gets no new task until it has not been seen slow for this long. */
@@ -10,7 +10,7 @@
 
 export interface SlowWorkerOptions {
     readonly now: number;
-    readonly book: book.Book;
+    readonly jobRegistry: book.JobRegistry;
     readonly log: observe.Log;
     readonly disabledMechanisms: ReadonlySet<decisions.Mechanism>;
     getUrgency(step: entries.StepEntry): decisions.Urgency;
@@ -41,7 +41,7 @@
             checkpoints: task.step.spec.checkpoints,
         });
         if (times && paysToMove(task, times, options)) {
-            options.book.requestStop(task, "workerSlow");
+            options.jobRegistry.requestStop(task, "workerSlow");
         }
     }
 }
@@ -52,6 +52,6 @@
     if (step.spec.checkpoints) {
         return true;
     }
-    const { lossCoreSeconds } = units.measureLoss(step.spec.gang ? step.tasks : [task], options.now);
+    const { lossCoreSeconds } = units.estimateStopLoss(step.spec.gang ? step.tasks : [task], options.now);
     return decisions.isMoveWorthwhile(options.getUrgency(step), times, lossCoreSeconds);
 }
--- a/src/leader/waits.ts
+++ b/src/leader/stalledSteps.ts
@@ -5,7 +5,7 @@
 import * as entries from "./entries";
 import type * as units from "./units";
 
-export interface WaitsOptions {
+export interface StalledStepsOptions {
     readonly now: number;
     readonly log: observe.Log;
     readonly waiting: readonly units.UnitOfTasks[];
@@ -18,7 +18,7 @@
 /** At a time, those that have waited longest. */
 const MOST_TOLD = 4;
 
-export function tellWaits(options: WaitsOptions): void {
+export function logStalledSteps(options: StalledStepsOptions): void {
     const stalled = options.waiting
         .filter(({ unit, tasks }) => unit.waitedMs >= TOLD_AFTER_MS && !hasPlacedTask(tasks[0]!.step.occurrence))
         .sort((a, b) => b.unit.waitedMs - a.unit.waitedMs);
@@ -39,7 +39,7 @@
 }
 
 /** How many workers of its service are left after each condition. */
-function countWorkers(unit: decisions.WaitingUnit, { workers, isPlaceable }: WaitsOptions) {
+function countWorkers(unit: decisions.WaitingUnit, { workers, isPlaceable }: StalledStepsOptions) {
     const ofService = workers.filter(worker => worker.info.service === unit.service);
     const placeable = ofService.filter(isPlaceable);
     const allowed = placeable.filter(({ id, info }) =>
--- a/src/leader/takeover.ts
+++ b/src/leader/takeover.ts
@@ -3,15 +3,15 @@
 import type * as observe from "../observe/index";
 import * as rows from "../rows/index";
 import * as work from "../work/index";
-import type * as book from "./book";
 import type * as entries from "./entries";
+import type * as book from "./jobRegistry";
 
 export interface TakeoverOptions {
     readonly store: rows.RowStore;
     readonly clock: clock.Clock;
     readonly log: observe.Log;
     readonly signal: AbortSignal;
-    readonly book: book.Book;
+    readonly jobRegistry: book.JobRegistry;
     getWorker(id: string): entries.WorkerEntry;
     /** Progress was found whose submission has been removed. */
     onOrphans(keys: readonly string[]): void;
@@ -22,7 +22,7 @@
 const RETRY_PAUSE_MS = 100;
 
 /** Fills the book; returns the version from which to follow submissions, or `undefined` when the term is over. */
-export async function takeOver(options: TakeoverOptions): Promise<number | undefined> {
+export async function loadStoredState(options: TakeoverOptions): Promise<number | undefined> {
     const startedAt = options.clock.now();
     const [submissions, progress] = await Promise.all([
         readUntilDone(options, work.Table.Jobs, work.INTAKE_PARTS),
@@ -33,11 +33,11 @@
     }
     for (const row of submissions.rows) {
         if (work.getCancelledJobId(row.key) === undefined) {
-            options.book.addJob(JSON.parse(row.value) as work.Submission);
+            options.jobRegistry.addJob(JSON.parse(row.value) as work.Submission);
         }
     }
     restore(options, progress.rows);
-    takeIntake(options.book, submissions.rows);
+    applyIntakeRows(options.jobRegistry, submissions.rows);
     options.log.info("jobsRead", {
         submissions: submissions.rows.length,
         progressRows: progress.rows.length,
@@ -48,7 +48,7 @@
 }
 
 /** Rows of the intake: new jobs and cancellations, in any order. */
-export function takeIntake(taskBook: book.Book, intake: readonly rows.Row[]): void {
+export function applyIntakeRows(taskBook: book.JobRegistry, intake: readonly rows.Row[]): void {
     const cancelled: string[] = [];
     for (const row of intake) {
         const jobId = work.getCancelledJobId(row.key);
@@ -67,7 +67,7 @@
     const occurrences: Array<{ job: entries.JobEntry; number: number; row: rows.Row; }> = [];
     for (const row of progressRows) {
         const parsed = work.parseOccurrenceKey(row.key);
-        const job = options.book.jobs.get(parsed?.jobId ?? row.key);
+        const job = options.jobRegistry.jobs.get(parsed?.jobId ?? row.key);
         if (!job) {
             orphans.push(row.key);
             continue;
@@ -76,14 +76,14 @@
             occurrences.push({ job, number: parsed.occurrence, row });
             continue;
         }
-        options.book.restoreJob(job, JSON.parse(row.value) as work.JobProgress, row.version);
+        options.jobRegistry.restoreJob(job, JSON.parse(row.value) as work.JobProgress, row.version);
     }
     if (orphans.length > 0) {
         options.onOrphans(orphans);
     }
     for (const { job, number, row } of occurrences) {
         const progress = work.decodeOccurrence(row.value);
-        options.book.restoreOccurrence(job, number, progress, row.version, options.getWorker);
+        options.jobRegistry.restoreOccurrence(job, number, progress, row.version, options.getWorker);
     }
 }
 
--- a/src/leader/taskWatchdog.ts
+++ b/src/leader/taskWatchdog.ts
@@ -2,10 +2,10 @@
 import type * as clock from "../clock/index";
 import type * as decisions from "../decisions/index";
 import type * as observe from "../observe/index";
-import type * as book from "./book";
 import type * as entries from "./entries";
 import * as blame from "./failingWorkers";
 import type * as heldLease from "./heldLease";
+import type * as book from "./jobRegistry";
 import * as lapse from "./leaseExpiry";
 import * as suspects from "./suspects";
 import type * as units from "./units";
@@ -53,11 +53,11 @@
         readonly clock: clock.Clock;
         readonly leadership: heldLease.Leadership;
         readonly maxLeaseMs: number;
-        readonly book: Pick<book.Book, "loseTasksOf">;
+        readonly jobRegistry: Pick<book.JobRegistry, "loseTasksOf">;
     },
 ): void {
-    if (options.clock.now() > lapse.getExpiresAt(options.leadership.othersSilentAt, options.maxLeaseMs)) {
-        options.book.loseTasksOf(worker, "lapsed");
+    if (options.clock.now() > lapse.getExpiresAt(options.leadership.predecessorsInactiveAt, options.maxLeaseMs)) {
+        options.jobRegistry.loseTasksOf(worker, "lapsed");
     }
 }
 
@@ -65,8 +65,8 @@
     workers: readonly entries.WorkerEntry[],
     options: {
         readonly now: number;
-        readonly expect: units.Expect;
-        readonly book: book.Book;
+        readonly expect: units.RunTimeEstimator;
+        readonly jobRegistry: book.JobRegistry;
         readonly log: observe.Log;
         readonly leftOut: ReadonlySet<decisions.Mechanism>;
     },
@@ -79,19 +79,19 @@
                 continue;
             }
             if (worker.info.draining && !leftOut.has("leavingWorkers") && !endsInTime(task, worker, options)) {
-                options.book.requestStop(task, "workerLeaves");
+                options.jobRegistry.requestStop(task, "workerLeaves");
             }
             else if (!leftOut.has("hangingTasks") && hangs(task, options.expect)) {
                 task.stalls++;
                 worker.quarantinedUntil = options.now + HANG_ASIDE_MS;
                 options.log.warn("workerSuspect", { worker: worker.id, reason: "no progress", task: task.name });
-                options.book.requestStop(task, "noProgress");
+                options.jobRegistry.requestStop(task, "noProgress");
             }
         }
     }
 }
 
-function hangs(task: entries.TaskEntry, expect: units.Expect): boolean {
+function hangs(task: entries.TaskEntry, expect: units.RunTimeEstimator): boolean {
     const { step } = task;
     if (step.spec.lasting || waitsForOthers(task)) {
         return false;
@@ -121,7 +121,7 @@
 function endsInTime(
     task: entries.TaskEntry,
     worker: entries.WorkerEntry,
-    options: { readonly now: number; readonly expect: units.Expect; },
+    options: { readonly now: number; readonly expect: units.RunTimeEstimator; },
 ): boolean {
     const leavesAt = (worker.drainingSince ?? options.now) + worker.info.remainingMs;
     const expectedEndAt = task.runningSince + options.expect(task.step);
--- a/src/leader/term.ts
+++ b/src/leader/term.ts
@@ -5,7 +5,7 @@
 import type * as observe from "../observe/index";
 import type * as rows from "../rows/index";
 import * as advice from "./advice";
-import * as bookOfTasks from "./book";
+import * as sharing from "./bestEffortPacing";
 import type * as directory from "./directory";
 import * as entries from "./entries";
 import * as execution from "./execution";
@@ -14,23 +14,23 @@
 import * as guarantees from "./guarantees";
 import type * as heldLease from "./heldLease";
 import * as firstLooksOfTerm from "./initialPollLimiter";
+import * as bookOfTasks from "./jobRegistry";
 import * as knownServices from "./knownServices";
 import type * as machines from "./machines";
 import * as ordersOfTerm from "./orders";
 import * as passTimer from "./passTimer";
-import * as placeable from "./placeable";
+import * as placeable from "./placementFilter";
 import * as progressWriter from "./progressWriter";
 import * as contacts from "./reachabilityCheck";
 import * as reconcile from "./reconcile";
 import * as retention from "./retention";
-import * as sharing from "./sharing";
 import * as slowness from "./slowWorkers";
+import * as waits from "./stalledSteps";
 import * as takeover from "./takeover";
 import * as watch from "./taskWatchdog";
 import * as thrownAways from "./thrownAway";
 import * as units from "./units";
 import * as upkeep from "./upkeep";
-import * as waits from "./waits";
 import type * as port from "./workerPort";
 import * as workerRegistry from "./workerRegistry";
 import * as workerSession from "./workerSession";
@@ -46,7 +46,7 @@
     readonly workers: port.WorkerPort;
     readonly leadership: heldLease.Leadership;
     readonly machines: machines.MachineService;
-    readonly waves: machines.WaveBoard;
+    readonly waves: machines.WavePort;
     readonly policy: decisions.Policy;
     /** Unique to this life of the instance. */
     readonly incarnation: string;
@@ -58,12 +58,12 @@
     readonly upkeepMs: number;
     /** How long the state of an ended job can be asked for. */
     readonly retentionMs: number;
-    onDeposed(reason: string): void;
+    onSuperseded(reason: string): void;
 }
 
 export interface Term {
     /** Jobs of each queue of which no task has started; `undefined` until the stored jobs are read. */
-    getWaiting(): Readonly<Record<string, number>> | undefined;
+    getWaitingCounts(): Readonly<Record<string, number>> | undefined;
 }
 
 /** Events of one moment are decided together; short beside the way to a worker and back. */
@@ -101,36 +101,36 @@
         log,
         meter,
         leadership,
-        onDeposed: () => options.onDeposed("another leader's token stands in the store"),
+        onSuperseded: () => options.onSuperseded("another leader's token stands in the store"),
     });
-    const thrownAway = thrownAways.createThrownAway();
-    const book = bookOfTasks.createBook({
+    const thrownAway = thrownAways.createThrownAwayWork();
+    const book = bookOfTasks.createJobRegistry({
         clock: time,
         log,
         meter,
         signal,
         getQueue: name => options.catalog.getQueue(name),
-        getExpected: job => units.getExpected(job, expect),
-        expectRun: step => expect(step),
+        getExpectedTimes: job => units.getExpectedTimes(job, expect),
+        estimateRunMs: step => expect(step),
         getWorkers: () => registry.workers.values(),
-        leftOut,
+        disabledMechanisms: leftOut,
         thrownAway,
         listener: {
-            occurrenceChanged: writer.markOccurrence,
-            jobChanged: writer.markJob,
-            stopWanted: task => orders.stop(task),
-            runObsolete: task => orders.stopObsolete(task),
-            changed: () => planPass(PASS_DELAY_MS),
+            onOccurrenceChanged: writer.markOccurrence,
+            onJobChanged: writer.markJob,
+            onStopRequested: task => orders.stop(task),
+            onRunObsolete: task => orders.stopObsolete(task),
+            onChanged: () => planPass(PASS_DELAY_MS),
         },
     });
     const orders = ordersOfTerm.createOrders({
-        book,
+        jobRegistry: book,
         clock: time,
         log,
         meter,
         signal,
         getSession: worker => registry.getSession(worker),
-        mayOrder: leadership.mayOrder,
+        mayOrder: leadership.mayIssueOrders,
         mayStart: worker => mayStart(worker, time.now()),
         disabledMechanisms: leftOut,
     });
@@ -141,12 +141,12 @@
         getSession: worker => registry.getSession(worker),
         onChanged: () => planPass(PASS_DELAY_MS),
     });
-    const adviceDesk = advice.createAdviceDesk({
+    const adviceDesk = advice.createAdviceRequester({
         adviser: options.adviser,
         clock: time,
         log,
         signal,
-        onTickets: () => planPass(PASS_DELAY_MS),
+        onTicketsChanged: () => planPass(PASS_DELAY_MS),
     });
 
     const openSession = (worker: entries.WorkerEntry) =>
@@ -165,10 +165,14 @@
                 for (const end of lists.ended) {
                     learn(end);
                 }
-                reconcile.reconcile({ book, clock: time, log, stopUnknownRun: orders.stopUnknownRun }, worker, lists);
+                reconcile.reconcile(
+                    { jobRegistry: book, clock: time, log, stopUnknownRun: orders.stopUnknownRun },
+                    worker,
+                    lists,
+                );
                 slowness.handleSlowWorker(worker, {
                     now: time.now(),
-                    book,
+                    jobRegistry: book,
                     log,
                     disabledMechanisms: leftOut,
                     getUrgency: step => units.getUrgency(step, createView(new Set())),
@@ -188,7 +192,7 @@
                 }
             },
             onDisconnected: () => worker.disconnectedAt ??= time.now(),
-            onFenced: () => options.onDeposed(`worker ${worker.id} has seen a higher fencing token`),
+            onFenced: () => options.onSuperseded(`worker ${worker.id} has seen a higher fencing token`),
         });
     const learn = (end: port.TaskEnd) => {
         const task = book.getTask(end.task);
@@ -212,7 +216,7 @@
         log,
         leadership,
         maxLeaseMs: options.maxLeaseMs,
-        book,
+        jobRegistry: book,
         filterKnownServices: leaveOutUnknown,
         openSession,
         closeRun: orders.closeRun,
@@ -234,19 +238,20 @@
     };
 
     const learned = leftOut.has("prediction") ? decisions.createPredictor() : predictor;
-    const expect: units.Expect = step => learned.predict(step.occurrence.job.queue.name, step.spec.estimateMs);
+    const expect: units.RunTimeEstimator = step =>
+        learned.predict(step.occurrence.job.queue.name, step.spec.estimateMs);
     const createView = (guaranteed: ReadonlySet<entries.JobEntry>): units.UnitsOptions => ({
         now: time.now(),
         wallNow: time.wallTime(),
-        expect,
+        estimateRunMs: expect,
         policy: options.policy,
         isGuaranteed: job => guaranteed.has(job),
     });
 
-    const { isPlaceable, mayStart } = placeable.createPlaceable({
+    const { isPlaceable, mayStart } = placeable.createPlacementFilter({
         catalog: options.catalog,
         capacityMs: options.capacityMs,
-        leftOut,
+        disabledMechanisms: leftOut,
         hasSession: worker => registry.getSession(worker) !== undefined,
     });
 
@@ -255,32 +260,32 @@
             return;
         }
         planPass(IDLE_PASS_MS);
-        if (!leadership.mayOrder()) {
+        if (!leadership.mayIssueOrders()) {
             return;
         }
-        book.releaseDue();
+        book.releaseDueOccurrences();
         const now = time.now();
-        const view = createView(guarantees.findGuaranteed(book.active, options.catalog.getAccount));
-        watch.stopUnviableTasks([...registry.workers.values()], { now, expect, book, log, leftOut });
-        const waiting = units.collectUnits(book.active, view);
+        const view = createView(guarantees.findGuaranteedJobs(book.active, options.catalog.getAccount));
+        watch.stopUnviableTasks([...registry.workers.values()], { now, expect, jobRegistry: book, log, leftOut });
+        const waiting = units.collectWaitingUnits(book.active, view);
         if (waiting.length === 0) {
             return;
         }
         const usable = [...registry.workers.values()].filter(worker => isPlaceable(worker, now));
-        adviceDesk.ask(waiting, usable);
+        adviceDesk.requestAdvice(waiting, usable);
         let groups: ReadonlyMap<string, units.GroupOfTasks> = new Map();
         const plan = decisions.plan({
             now,
             disabledMechanisms: leftOut,
-            workers: usable.map(units.toPlaceable),
+            workers: usable.map(units.toPlaceableWorker),
             units: waiting.map(item => item.unit),
             getRunningGroups: () => {
-                groups = units.collectGroups(book.active, view);
+                groups = units.collectRunningGroups(book.active, view);
                 return [...groups.values()].map(item => item.group);
             },
         });
-        execution.carryOut({
-            book,
+        execution.executePlan({
+            jobRegistry: book,
             orders,
             contact,
             log,
@@ -293,18 +298,18 @@
             groups,
         });
         const passMs = time.now() - now;
-        passes.noteDuration(passMs);
+        passes.recordDuration(passMs);
         meter.record("pass_duration_ms", {}, passMs);
     };
     const passes = passTimer.createPassTimer(time, runPass);
-    const planPass = passes.plan;
+    const planPass = passes.schedulePass;
 
     const tellWaits = () => {
         const now = time.now();
-        waits.tellWaits({
+        waits.logStalledSteps({
             now,
             log,
-            waiting: units.collectUnits(book.active, createView(new Set())),
+            waiting: units.collectWaitingUnits(book.active, createView(new Set())),
             workers: [...registry.workers.values()],
             isPlaceable: worker => isPlaceable(worker, now),
         });
@@ -323,12 +328,12 @@
     };
 
     const run = async () => {
-        const version = await takeover.takeOver({
+        const version = await takeover.loadStoredState({
             store: options.store,
             clock: time,
             log,
             signal,
-            book,
+            jobRegistry: book,
             getWorker: registry.getWorker,
             onOrphans: keys => void retention.removeOrphans({ store: options.store, log, leadership }, keys),
         });
@@ -340,7 +345,7 @@
         void followDirectory();
         void tellSummaries();
         upkeep.runUpkeep({
-            board: options.waves,
+            wavePort: options.waves,
             service: options.machines,
             store: options.store,
             clock: time,
@@ -348,16 +353,16 @@
             leadership,
             holder: options.incarnation,
             upkeepMs: options.upkeepMs,
-            book,
+            jobRegistry: book,
             getWorker: registry.findCurrent,
-            onFenced: () => options.onDeposed("a machine has seen a higher fencing token"),
+            onFenced: () => options.onSuperseded("a machine has seen a higher fencing token"),
         });
         void retention.runRetention({
             store: options.store,
             clock: time,
             log,
             leadership,
-            book,
+            jobRegistry: book,
             retentionMs: options.retentionMs,
         });
         planPass(0);
@@ -368,7 +373,7 @@
             signal,
             after: version,
             onRows: changed => {
-                takeover.takeIntake(book, changed);
+                takeover.applyIntakeRows(book, changed);
                 planPass(PASS_DELAY_MS);
             },
         });
@@ -388,7 +393,7 @@
     void run();
 
     return {
-        getWaiting: () => {
+        getWaitingCounts: () => {
             if (!ready) {
                 return undefined;
             }
--- a/src/leader/thrownAway.ts
+++ b/src/leader/thrownAway.ts
@@ -7,18 +7,18 @@
 import * as decisions from "../decisions/index";
 import * as entries from "./entries";
 
-export interface ThrownAway {
+export interface ThrownAwayWork {
     /** A run that was at work has ended otherwise than done; `cause` is what it was stopped for, or how it ended. */
     addRun(task: entries.TaskEntry, cause: string, now: number): number;
     /** A gang has ended: what its members held while they waited for the last one to start. */
-    addWait(step: entries.StepEntry): number;
+    addGangWait(step: entries.StepEntry): number;
     /** Core-seconds by cause since the term began. */
     getTotals(): Readonly<Record<string, number>>;
 }
 
-export const WAIT_CAUSE = "gangWait";
+export const GANG_WAIT_CAUSE = "gangWait";
 
-export function createThrownAway(): ThrownAway {
+export function createThrownAwayWork(): ThrownAwayWork {
     const totals = new Map<string, number>();
     const add = (cause: string, coreSeconds: number) => {
         totals.set(cause, (totals.get(cause) ?? 0) + coreSeconds);
@@ -26,7 +26,7 @@
     };
     return {
         addRun: (task, cause, now) => add(cause, getUnsavedCoreSeconds(task, now)),
-        addWait: step => add(WAIT_CAUSE, getWaitCoreSeconds(step)),
+        addGangWait: step => add(GANG_WAIT_CAUSE, getWaitCoreSeconds(step)),
         getTotals: () => Object.fromEntries([...totals].map(([cause, total]) => [cause, Math.round(total)])),
     };
 }
--- a/src/leader/units.ts
+++ b/src/leader/units.ts
@@ -19,18 +19,18 @@
 }
 
 /** How long a task of the step is expected to take, from what was learned of the queue. */
-export type Expect = (step: entries.StepEntry) => number;
+export type RunTimeEstimator = (step: entries.StepEntry) => number;
 
 export interface UnitsOptions {
     readonly now: number;
     readonly wallNow: number;
-    readonly expect: Expect;
+    readonly estimateRunMs: RunTimeEstimator;
     readonly policy: decisions.Policy;
     /** Whether the job's needs lie within what its account is guaranteed. */
     isGuaranteed(job: entries.JobEntry): boolean;
 }
 
-export function collectUnits(
+export function collectWaitingUnits(
     active: Iterable<entries.JobEntry>,
     options: UnitsOptions,
 ): UnitOfTasks[] {
@@ -96,7 +96,7 @@
         excludedWorkerIds: waitedMs < OTHER_WORKER_PATIENCE_MS ? unionFailedOn(tasks) : NO_WORKERS,
         allowedWorkerIds: job.queue.advice ? getTicketed(step, options.now) : undefined,
         waitedMs,
-        expectedDurationMs: options.expect(step),
+        expectedDurationMs: options.estimateRunMs(step),
     };
 }
 
@@ -148,8 +148,8 @@
         tier: getClaim(step, options),
         priority: job.queue.priority,
         ageMs: options.wallNow - since,
-        objectiveMs: getExpected(job, options.expect).objectiveMs,
-        remainingMs: getChainFromMs(step, options.expect),
+        objectiveMs: getExpectedTimes(job, options.estimateRunMs).objectiveMs,
+        remainingMs: getChainFromMs(step, options.estimateRunMs),
     };
 }
 
@@ -165,21 +165,21 @@
 }
 
 /** Of an occurrence of the job; its objective is counted from its acceptance, or from when it is due. */
-export function getExpected(job: entries.JobEntry, expect: Expect): outcomes.ExpectedTimes {
+export function getExpectedTimes(job: entries.JobEntry, expect: RunTimeEstimator): outcomes.ExpectedTimes {
     const [occurrence] = job.occurrences.values();
     const chainMs = occurrence ? getChainMs(occurrence, expect) : 0;
     return { criticalPathMs: chainMs, objectiveMs: job.queue.stretch * chainMs + job.queue.objectiveMs };
 }
 
 /** The longest chain of work of an occurrence. */
-function getChainMs(occurrence: entries.OccurrenceEntry, expect: Expect): number {
+function getChainMs(occurrence: entries.OccurrenceEntry, expect: RunTimeEstimator): number {
     return occurrence.steps
         .filter(step => step.spec.after.length === 0)
         .reduce((longest, step) => Math.max(longest, getChainFromMs(step, expect)), 0);
 }
 
 /** The longest chain of work from a step's start to the end of the occurrence. */
-function getChainFromMs(step: entries.StepEntry, expect: Expect): number {
+function getChainFromMs(step: entries.StepEntry, expect: RunTimeEstimator): number {
     const longestAfter = step.occurrence.steps
         .filter(next => next.spec.after.includes(step.number) && next.number > step.number)
         .reduce((longest, next) => Math.max(longest, getChainFromMs(next, expect)), 0);
@@ -187,7 +187,7 @@
 }
 
 /** What runs, as groups that are stopped together. */
-export function collectGroups(
+export function collectRunningGroups(
     active: Iterable<entries.JobEntry>,
     options: UnitsOptions,
 ): Map<string, GroupOfTasks> {
@@ -225,7 +225,7 @@
     options: UnitsOptions,
 ): decisions.RunningGroup {
     const { step } = tasks[0]!;
-    const { elapsedMs, unsavedMs, lossCoreSeconds } = measureLoss(tasks, options.now);
+    const { elapsedMs, unsavedMs, lossCoreSeconds } = estimateStopLoss(tasks, options.now);
     return {
         key,
         tier: getClaim(step, options),
@@ -249,7 +249,7 @@
 }
 
 /** What a stop throws away of tasks that are stopped together. */
-export function measureLoss(tasks: readonly entries.TaskEntry[], now: number) {
+export function estimateStopLoss(tasks: readonly entries.TaskEntry[], now: number) {
     const { spec } = tasks[0]!.step;
     const since = Math.min(...tasks.map(task => task.phase === "running" ? task.runningSince : now));
     const elapsedMs = now - since;
@@ -275,7 +275,7 @@
 /** A stop saves all that was done, so a task that saves loses next to nothing and is stopped before others. */
 const RESTORE_LOSS_MS = 100;
 
-export function toPlaceable(worker: entries.WorkerEntry): decisions.PlaceableWorker {
+export function toPlaceableWorker(worker: entries.WorkerEntry): decisions.PlaceableWorker {
     const freeing = decisions.copyResources(work.NO_RESOURCES);
     let serving = 0;
     let filling = 0;
--- a/src/leader/upkeep.ts
+++ b/src/leader/upkeep.ts
@@ -7,15 +7,15 @@
 import type * as clock from "../clock/index";
 import type * as observe from "../observe/index";
 import type * as rows from "../rows/index";
-import type * as book from "./book";
 import * as entries from "./entries";
 import type * as heldLease from "./heldLease";
+import type * as book from "./jobRegistry";
 import type * as machines from "./machines";
 import * as upkeepRows from "./upkeepRows";
 import * as stagesOfWave from "./upkeepStages";
 
 export interface UpkeepOptions {
-    readonly board: machines.WaveBoard;
+    readonly wavePort: machines.WavePort;
     readonly service: machines.MachineService;
     readonly store: rows.RowStore;
     readonly clock: clock.Clock;
@@ -25,7 +25,7 @@
     readonly holder: string;
     /** How long a machine is down for its upkeep. */
     readonly upkeepMs: number;
-    readonly book: book.Book;
+    readonly jobRegistry: book.JobRegistry;
     getWorker(name: string): entries.WorkerEntry | undefined;
     onFenced(): void;
 }
@@ -35,7 +35,7 @@
     readonly wave: machines.Wave;
     /** Monotonic time at which this instance learned of it. */
     readonly knownAt: number;
-    readonly stages: stagesOfWave.Stages;
+    readonly stages: stagesOfWave.MachineStages;
 }
 
 /** The platform takes some 60 list calls a second from all; one wave needs one. */
@@ -60,7 +60,7 @@
     const running = new Set<number>();
     await options.clock.sleep(HANDOVER_MS, signal);
     while (!signal.aborted) {
-        for (const open of options.board.getOpen()) {
+        for (const open of options.wavePort.getIncomplete()) {
             if (!running.has(open.wave.number)) {
                 running.add(open.wave.number);
                 void runWave(options, open.wave, open.knownAt).then(() => running.delete(open.wave.number));
@@ -80,18 +80,18 @@
     }
     const ordered = [...stages.values()].filter(stage => stage.kind === "ordered").length;
     log.info("waveBegun", { wave: wave.number, machines: wave.machines.length, ordered });
-    await options.board.report(wave.number, "running", CALL_TIMEOUT_MS);
+    await options.wavePort.reportState(wave.number, "running", CALL_TIMEOUT_MS);
     const current: RunningWave = { wave, knownAt, stages };
     while (!leadership.signal.aborted) {
         const listed = await options.service.list(CALL_TIMEOUT_MS);
-        if (listed.kind === "machines" && leadership.mayOrder()) {
+        if (listed.kind === "machines" && leadership.mayIssueOrders()) {
             await step(options, current, new Map(listed.machines.map(machine => [machine.id, machine])));
         }
         else if (listed.kind === "unavailable") {
             log.info("machinesUnavailable", { wave: wave.number, why: listed.message });
         }
-        const isOver = stagesOfWave.isOver(stages);
-        if (isOver && await options.board.report(wave.number, "completed", CALL_TIMEOUT_MS)) {
+        const isOver = stagesOfWave.isComplete(stages);
+        if (isOver && await options.wavePort.reportState(wave.number, "completed", CALL_TIMEOUT_MS)) {
             log.info("waveCompleted", { wave: wave.number, afterMs: Math.round(time.now() - knownAt) });
             return;
         }
@@ -99,8 +99,12 @@
     }
 }
 
-async function step(options: UpkeepOptions, current: RunningWave, present: stagesOfWave.Present): Promise<void> {
-    stagesOfWave.noteMachines(current.stages, present, options.clock.now(), options.upkeepMs + 2 * STEP_MS);
+async function step(
+    options: UpkeepOptions,
+    current: RunningWave,
+    present: stagesOfWave.PresentMachines,
+): Promise<void> {
+    stagesOfWave.updateStages(current.stages, present, options.clock.now(), options.upkeepMs + 2 * STEP_MS);
     chooseNext(options, current, present);
     reserveWorkers(options, current.stages);
     for (const [machineId, stage] of current.stages) {
@@ -111,9 +115,9 @@
     }
 }
 
-function chooseNext(options: UpkeepOptions, current: RunningWave, present: stagesOfWave.Present): void {
+function chooseNext(options: UpkeepOptions, current: RunningWave, present: stagesOfWave.PresentMachines): void {
     const { stages, wave } = current;
-    const room = Math.max(0, wave.maxCount - stagesOfWave.countTaken(stages, present));
+    const room = Math.max(0, wave.maxCount - stagesOfWave.countOutOfService(stages, present));
     const candidates = [...stages]
         .filter(([id, stage]) => stage.kind === "pending" && present.get(id)?.up)
         .map(([id]) => ({ id, workerName: present.get(id)!.workerName }))
@@ -132,7 +136,7 @@
 }
 
 /** Nothing is placed on a worker that goes down; set again in each step, since the directory may drop and relist it. */
-function reserveWorkers(options: UpkeepOptions, stages: ReadonlyMap<string, stagesOfWave.Stage>): void {
+function reserveWorkers(options: UpkeepOptions, stages: ReadonlyMap<string, stagesOfWave.MachineStage>): void {
     for (const stage of stages.values()) {
         const worker = stage.kind === "emptying" || stage.kind === "ordered"
             ? options.getWorker(stage.workerName)
@@ -155,7 +159,7 @@
 function isEmpty(
     options: UpkeepOptions,
     current: RunningWave,
-    stage: Extract<stagesOfWave.Stage, { kind: "emptying" | "ordered"; }>,
+    stage: Extract<stagesOfWave.MachineStage, { kind: "emptying" | "ordered"; }>,
 ): boolean {
     const worker = options.getWorker(stage.workerName);
     if (!worker || worker.tasks.size === 0) {
@@ -180,7 +184,7 @@
         stages.set(machineId, before);
         return;
     }
-    if (!options.leadership.mayOrder()) {
+    if (!options.leadership.mayIssueOrders()) {
         return;
     }
     const answer = await options.service.beginUpkeep({
@@ -218,7 +222,7 @@
     for (const task of worker.tasks) {
         const { spec } = task.step;
         if (spec.lasting ? mayMissOneMore(task.step) : patienceOver) {
-            options.book.requestStop(task, "upkeep");
+            options.jobRegistry.requestStop(task, "upkeep");
         }
     }
 }
@@ -228,6 +232,6 @@
     return step.spec.mayMiss === 0 || entries.countUnavailable(step) < step.spec.mayMiss;
 }
 
-function toRows(options: UpkeepOptions): upkeepRows.UpkeepRows {
+function toRows(options: UpkeepOptions): upkeepRows.UpkeepRowsOptions {
     return { store: options.store, leadership: options.leadership, timeoutMs: CALL_TIMEOUT_MS };
 }
--- a/src/leader/upkeepRows.ts
+++ b/src/leader/upkeepRows.ts
@@ -10,7 +10,7 @@
 import type * as heldLease from "./heldLease";
 import type * as stagesOfWave from "./upkeepStages";
 
-export interface UpkeepRows {
+export interface UpkeepRowsOptions {
     readonly store: rows.RowStore;
     readonly leadership: heldLease.Leadership;
     readonly timeoutMs: number;
@@ -30,11 +30,11 @@
 
 /** The stages as the latest leader stored them; `undefined` when they cannot be read now. */
 export async function readStages(
-    options: UpkeepRows,
+    options: UpkeepRowsOptions,
     wave: number,
     machineIds: readonly string[],
     now: number,
-): Promise<stagesOfWave.Stages | undefined> {
+): Promise<stagesOfWave.MachineStages | undefined> {
     const result = await rows.readAll(options.store, getRange(wave), options.timeoutMs, rows.MAX_ANSWER_MS);
     if (result.kind !== "read") {
         return undefined;
@@ -43,7 +43,7 @@
         {},
         ...result.rows.map(row => JSON.parse(row.value) as OrderedMachines),
     );
-    return new Map(machineIds.map((id): [string, stagesOfWave.Stage] => {
+    return new Map(machineIds.map((id): [string, stagesOfWave.MachineStage] => {
         const stored = ordered[id];
         if (!stored) {
             return [id, { kind: "pending" }];
@@ -55,9 +55,9 @@
 
 /** Whether the stages are stored now. They have to be in the order of the wave's machines, which never changes. */
 export async function writeStages(
-    options: UpkeepRows,
+    options: UpkeepRowsOptions,
     wave: number,
-    stages: ReadonlyMap<string, stagesOfWave.Stage>,
+    stages: ReadonlyMap<string, stagesOfWave.MachineStage>,
 ): Promise<boolean> {
     const entries = [...stages];
     const puts: rows.RowPut[] = [];
@@ -70,7 +70,7 @@
     return outcome.kind === "committed";
 }
 
-function toOrdered(entries: ReadonlyArray<readonly [string, stagesOfWave.Stage]>): OrderedMachines {
+function toOrdered(entries: ReadonlyArray<readonly [string, stagesOfWave.MachineStage]>): OrderedMachines {
     const ordered: Record<string, { worker: string; confirmed: boolean; }> = {};
     for (const [id, stage] of entries) {
         if (stage.kind === "ordered") {
--- a/src/leader/upkeepStages.ts
+++ b/src/leader/upkeepStages.ts
@@ -1,7 +1,7 @@
 /** Where each machine of a wave is on its way, and what the platform's list of machines says of it. */
 import type * as machines from "./machines";
 
-export type Stage =
+export type MachineStage =
     | { readonly kind: "pending"; }
     /** Gets no new work, until nothing runs there. */
     | { readonly kind: "emptying"; readonly workerName: string; readonly since: number; }
@@ -11,14 +11,14 @@
     /** No longer the platform's, or not of this wave. */
     | { readonly kind: "gone"; };
 
-export type Stages = Map<string, Stage>;
-export type Present = ReadonlyMap<string, machines.Machine>;
+export type MachineStages = Map<string, MachineStage>;
+export type PresentMachines = ReadonlyMap<string, machines.Machine>;
 
 /**
  * Takes note of machines that came back, or that are no longer there. A machine whose order was confirmed and that is
  * up for `longestMs` had its upkeep before: the order was a repetition.
  */
-export function noteMachines(stages: Stages, present: Present, now: number, longestMs: number): void {
+export function updateStages(stages: MachineStages, present: PresentMachines, now: number, longestMs: number): void {
     for (const [id, stage] of stages) {
         const machine = present.get(id);
         if (!machine) {
@@ -47,11 +47,11 @@
 }
 
 function noteOrdered(
-    stage: Extract<Stage, { kind: "ordered"; }>,
+    stage: Extract<MachineStage, { kind: "ordered"; }>,
     machine: machines.Machine,
     now: number,
     longestMs: number,
-): Stage {
+): MachineStage {
     if (machine.inUpkeep) {
         return { ...stage, confirmedAt: stage.confirmedAt ?? now };
     }
@@ -67,7 +67,7 @@
 }
 
 /** Machines of the wave that are down for their upkeep, or will be without a further decision. */
-export function countTaken(stages: ReadonlyMap<string, Stage>, present: Present): number {
+export function countOutOfService(stages: ReadonlyMap<string, MachineStage>, present: PresentMachines): number {
     let taken = 0;
     for (const [id, stage] of stages) {
         const isTaken = stage.kind === "emptying" || stage.kind === "ordered" || present.get(id)?.inUpkeep;
@@ -76,6 +76,6 @@
     return taken;
 }
 
-export function isOver(stages: ReadonlyMap<string, Stage>): boolean {
+export function isComplete(stages: ReadonlyMap<string, MachineStage>): boolean {
     return [...stages.values()].every(stage => stage.kind === "done" || stage.kind === "gone");
 }
--- a/src/leader/waitingCounts.ts
+++ b/src/leader/waitingCounts.ts
@@ -16,12 +16,12 @@
  * A quarter of the shortest row that a store takes today (65,536 bytes, in base64): room for 1,170 queues beside all
  * else that the row holds, and 44 kB a second to each instance, which reads it twice a second.
  */
-export const MOST_COUNTS_BYTES = 16_384;
+export const MAX_COUNTS_BYTES = 16_384;
 /** Two quotes, a colon and a comma. */
 const PUNCTUATION_BYTES = 4;
 
 /** Leaves out the queues with the fewest waiting jobs where there is no room for all. */
-export function fitCounts(counts: Readonly<Record<string, number>>, mostBytes = MOST_COUNTS_BYTES): WaitingCounts {
+export function truncateCounts(counts: Readonly<Record<string, number>>, mostBytes = MAX_COUNTS_BYTES): WaitingCounts {
     const entries = Object.entries(counts);
     const byCount = [...entries].sort(([, a], [, b]) => b - a);
     let bytes = 0;
--- a/src/leader/workerLosses.ts
+++ b/src/leader/workerLosses.ts
@@ -14,15 +14,15 @@
     readonly signal: AbortSignal;
     getWorkers(): Iterable<entries.WorkerEntry>;
     /** How long a run of the step's tasks is expected to take. */
-    expectRun(step: entries.StepEntry): number;
+    estimateRunMs(step: entries.StepEntry): number;
     countThrownAway(task: entries.TaskEntry, cause: string): void;
     requeue(task: entries.TaskEntry): void;
     stopOtherMembers(task: entries.TaskEntry, reason: string): void;
     /** The task is now `stopping`: its run must be stopped and settled. */
-    stopWanted(task: entries.TaskEntry): void;
+    onStopRequested(task: entries.TaskEntry): void;
     /** Its occurrence ends as failed. */
     failOccurrence(task: entries.TaskEntry): void;
-    occurrenceChanged(occurrence: entries.OccurrenceEntry): void;
+    onOccurrenceChanged(occurrence: entries.OccurrenceEntry): void;
 }
 
 /** Why the worker counts as lost: another life has answered, or its leases ran out in silence. */
@@ -63,14 +63,14 @@
     const crashJudge = crashes.createCrashAttribution({
         clock: time,
         getWorkers: options.getWorkers,
-        expectRun: options.expectRun,
+        estimateRunMs: options.estimateRunMs,
         onReviewed: (task, hasChanged) => {
             if (options.signal.aborted || task.step.occurrence.isEnded) {
                 return;
             }
             if (hasChanged) {
                 log.info("lossReviewed", { task: task.name, ...crashHistory.getCounts(task.crashes) });
-                options.occurrenceChanged(task.step.occurrence);
+                options.onOccurrenceChanged(task.step.occurrence);
             }
             judge(task);
         },
@@ -92,10 +92,10 @@
     const moveTo = (next: entries.WorkerEntry, task: entries.TaskEntry) => {
         entries.unassign(task);
         entries.assign(task, next);
-        options.occurrenceChanged(task.step.occurrence);
+        options.onOccurrenceChanged(task.step.occurrence);
         if (task.phase === "stopping") {
             task.stopAcceptedAt = undefined;
-            options.stopWanted(task);
+            options.onStopRequested(task);
         }
     };
     /** After a stop the next life refuses the run, however late its start comes; only then is the task free again. */
--- a/src/leader/workerRegistry.ts
+++ b/src/leader/workerRegistry.ts
@@ -4,11 +4,11 @@
  */
 import type * as clock from "../clock/index";
 import type * as observe from "../observe/index";
-import type * as bookOfTasks from "./book";
 import type * as directory from "./directory";
 import * as entries from "./entries";
 import type * as heldLease from "./heldLease";
 import * as lives from "./incarnation";
+import type * as bookOfTasks from "./jobRegistry";
 import * as watch from "./taskWatchdog";
 import type * as workerSession from "./workerSession";
 
@@ -17,7 +17,7 @@
     readonly log: observe.Log;
     readonly leadership: heldLease.Leadership;
     readonly maxLeaseMs: number;
-    readonly book: Pick<bookOfTasks.Book, "loseTasksOf" | "crashJudge">;
+    readonly jobRegistry: Pick<bookOfTasks.JobRegistry, "loseTasksOf" | "crashJudge">;
     /** Leaves out workers that no queue can use. */
     filterKnownServices<T extends entries.WorkerInfo>(listed: readonly T[]): readonly T[];
     openSession(worker: entries.WorkerEntry): workerSession.WorkerSession;
@@ -45,7 +45,7 @@
 type ListedLife = entries.WorkerInfo & Pick<directory.ListedWorker, "reportedAt">;
 
 export function createWorkerRegistry(options: WorkerRegistryOptions): WorkerRegistry {
-    const { clock: time, log, book } = options;
+    const { clock: time, log, jobRegistry: book } = options;
     const workers = new Map<string, entries.WorkerEntry>();
     const sessions = new Map<string, workerSession.WorkerSession>();
     const byName = new Map<string, Set<entries.WorkerEntry>>();
@@ -133,7 +133,7 @@
         else if (!sessions.has(worker.id)) {
             // Not listed since before the takeover: it cannot be reached, only waited for.
             const { leadership, maxLeaseMs } = options;
-            watch.markLostAfterExpiry(worker, { clock: time, leadership, maxLeaseMs, book });
+            watch.markLostAfterExpiry(worker, { clock: time, leadership, maxLeaseMs, jobRegistry: book });
         }
     };
 
--- a/src/leader/workerSession.ts
+++ b/src/leader/workerSession.ts
@@ -80,7 +80,7 @@
     const { signal } = controller;
     let workerClock: lapse.ClockReading | undefined;
     /** Our time by which everything there has lapsed unless it is prolonged. */
-    let lapsedAt = lapse.getExpiresAt(Math.max(leadership.othersSilentAt, time.now()), options.maxLeaseMs);
+    let lapsedAt = lapse.getExpiresAt(Math.max(leadership.predecessorsInactiveAt, time.now()), options.maxLeaseMs);
     let lastEnd = 0;
     let recordedUpTo = 0;
     let acknowledgedUpTo = 0;
@@ -228,7 +228,7 @@
         const { PollPriority: Turn } = firstLooks;
         const leave = await options.pollLimiter.acquire(tried ? Turn.Retry : options.isBusy() ? Turn.Busy : Turn.Idle);
         tried = true;
-        const answered = !signal.aborted && leadership.mayProlong() && await look(0);
+        const answered = !signal.aborted && leadership.mayExtendTaskLeases() && await look(0);
         leave();
         return answered;
     };
@@ -264,7 +264,7 @@
                 await pause(UNRECORDED_LOOK_MS - (time.now() - lastLookAt));
                 continue;
             }
-            if (!leadership.mayProlong()) {
+            if (!leadership.mayExtendTaskLeases()) {
                 await pause(RETRY_PAUSE_MS);
                 continue;
             }
@@ -290,7 +290,7 @@
         lookNowWanted = true;
         await Promise.resolve();
         lookNowWanted = false;
-        if (!signal.aborted && leadership.mayProlong()) {
+        if (!signal.aborted && leadership.mayExtendTaskLeases()) {
             await look(0);
         }
     };
@@ -303,7 +303,7 @@
         return answer;
     };
     const order = async <T extends port.OrderAnswer>(send: () => Promise<T>): Promise<port.OrderAnswer> => {
-        if (!leadership.mayOrder()) {
+        if (!leadership.mayIssueOrders()) {
             return { kind: "unreachable", message: "the lease is not certain" };
         }
         const answer = await send();
--- a/src/liveness/__tests__/liveness.test.ts
+++ b/src/liveness/__tests__/liveness.test.ts
@@ -12,7 +12,7 @@
         const server = liveness.createLivenessServer({ clock, isLeading: () => leading });
         const address = `127.0.0.1:${await server.listen("127.0.0.1:0")}`;
         const gone = new Promise<void>(resolve => {
-            liveness.watchProcess({ clock, address, ownAddress: "", onGone: resolve });
+            liveness.watchProcess({ clock, address, ownAddress: "", onExit: resolve });
         });
         // The watch needs a moment to connect; closing before that would prove nothing.
         await new Promise(resolve => setTimeout(resolve, 100));
@@ -26,7 +26,7 @@
             clock,
             address: `127.0.0.1:${CLOSED_PORT}`,
             ownAddress: "",
-            onGone: () => {
+            onExit: () => {
                 told = true;
             },
         });
@@ -39,27 +39,27 @@
         const server = liveness.createLivenessServer({ clock, isLeading: () => leading });
         const address = `127.0.0.1:${await server.listen("127.0.0.1:0")}`;
         const ends = ["10.0.0.1:7001", "no address", "10.0.0.2:7001"].map(ownAddress =>
-            liveness.watchProcess({ clock, address, ownAddress, onGone: () => undefined })
+            liveness.watchProcess({ clock, address, ownAddress, onExit: () => undefined })
         );
-        while (server.getWatchers().length < 2) {
+        while (server.getWatcherAddresses().length < 2) {
             await new Promise(resolve => setTimeout(resolve, 5));
         }
         ends.forEach(watch => watch.end());
         server.close();
-        expect([...server.getWatchers()].sort()).toEqual(["10.0.0.1:7001", "10.0.0.2:7001"]);
+        expect([...server.getWatcherAddresses()].sort()).toEqual(["10.0.0.1:7001", "10.0.0.2:7001"]);
     });
 
     test("a leader sends heartbeats, and no other does", async () => {
         leading = false;
         const server = liveness.createLivenessServer({ clock, isLeading: () => leading });
         const address = `127.0.0.1:${await server.listen("127.0.0.1:0")}`;
-        const watch = liveness.watchProcess({ clock, address, ownAddress: "10.0.0.1:1", onGone: () => undefined });
-        while (server.getWatchers().length === 0) {
+        const watch = liveness.watchProcess({ clock, address, ownAddress: "10.0.0.1:1", onExit: () => undefined });
+        while (server.getWatcherAddresses().length === 0) {
             await new Promise(resolve => setTimeout(resolve, 5));
         }
-        expect(watch.getSilentMs()).toBeUndefined();
+        expect(watch.getHeartbeatAgeMs()).toBeUndefined();
         leading = true;
-        while (watch.getSilentMs() === undefined) {
+        while (watch.getHeartbeatAgeMs() === undefined) {
             await new Promise(resolve => setTimeout(resolve, 5));
         }
         watch.end();
--- a/src/liveness/watch.ts
+++ b/src/liveness/processWatch.ts
@@ -8,27 +8,27 @@
 import * as net from "node:net";
 import type * as clock from "../clock/index";
 
-export interface WatchOptions {
+export interface ProcessWatchOptions {
     readonly clock: clock.Clock;
     /** `IP:PORT` of the process's liveness server. */
     readonly address: string;
     /** Where this process takes requests that others pass on: the watched one may need it. Empty: nowhere. */
     readonly ownAddress: string;
     /** Called once, when the process is gone. */
-    onGone(): void;
+    onExit(): void;
 }
 
 /** Between tries to connect while it is not known whether the process lives. */
 const RETRY_MS = 300;
 const CONNECT_TIMEOUT_MS = 1_000;
 
-export interface Watch {
+export interface ProcessWatch {
     /** Milliseconds since the latest heartbeat; `undefined` where none has come yet. */
-    getSilentMs(): number | undefined;
+    getHeartbeatAgeMs(): number | undefined;
     end(): void;
 }
 
-export function watchProcess(options: WatchOptions): Watch {
+export function watchProcess(options: ProcessWatchOptions): ProcessWatch {
     const separator = options.address.lastIndexOf(":");
     const host = options.address.slice(0, separator);
     const port = Number(options.address.slice(separator + 1));
@@ -59,7 +59,7 @@
             }
             if (refused && wasConnected) {
                 ended = true;
-                options.onGone();
+                options.onExit();
                 return;
             }
             retry = setTimeout(connect, refused ? RETRY_MS : 0);
@@ -67,7 +67,7 @@
     };
     connect();
     return {
-        getSilentMs: () => heartbeatAt === undefined ? undefined : options.clock.now() - heartbeatAt,
+        getHeartbeatAgeMs: () => heartbeatAt === undefined ? undefined : options.clock.now() - heartbeatAt,
         end: () => {
             ended = true;
             clearTimeout(retry);
--- a/src/liveness/server.ts
+++ b/src/liveness/server.ts
@@ -13,7 +13,7 @@
     /** Takes `IP:PORT`, port 0 for any free one; returns the port. */
     listen(address: string): Promise<number>;
     /** Addresses that watchers have named, the latest first; those of watchers that have gone since may be among them. */
-    getWatchers(): readonly string[];
+    getWatcherAddresses(): readonly string[];
     close(): void;
 }
 
@@ -55,7 +55,7 @@
             sendHeartbeats();
             return calls.listen(server, address);
         },
-        getWatchers: () => watchers,
+        getWatcherAddresses: () => watchers,
         close: () => {
             cancelHeartbeat();
             server.close();
--- a/src/scheduler/__tests__/advice.test.ts
+++ b/src/scheduler/__tests__/advice.test.ts
@@ -50,7 +50,10 @@
                 name === step
                     ? {
                         kind: "advised",
-                        good: workerNames.filter(isGood).map(workerName => ({ workerName, ticket: `t-${workerName}` })),
+                        suitable: workerNames.filter(isGood).map(workerName => ({
+                            workerName,
+                            ticket: `t-${workerName}`,
+                        })),
                         validMs: ADVICE.validMs,
                     }
                     : { kind: "unavailable", message: `no such step: ${name}` },
--- a/src/scheduler/__tests__/scheduler.test.ts
+++ b/src/scheduler/__tests__/scheduler.test.ts
@@ -181,7 +181,11 @@
                 advise: async (_step, workerNames) => {
                     asked.push([...workerNames]);
                     const good = workerNames.filter(id => id === "worker-2");
-                    return { kind: "advised", good: good.map(id => ({ workerName: id, ticket: "t" })), validMs: 3_000 };
+                    return {
+                        kind: "advised",
+                        suitable: good.map(id => ({ workerName: id, ticket: "t" })),
+                        validMs: 3_000,
+                    };
                 },
             },
         }, [fixtures.createJob(1, { count: 3 })]);
--- a/src/scheduler/scheduler.ts
+++ b/src/scheduler/scheduler.ts
@@ -19,14 +19,14 @@
     /** Where this instance takes requests that others pass on; empty: nowhere. */
     readonly peerAddress: string;
     /** Watches another instance's process; `onGone`: it is gone for certain. */
-    watchProcess(address: string, onGone: () => void): leader.HolderWatch;
+    watchProcess(address: string, onGone: () => void): leader.ProcessWatch;
     readonly handover: leader.HandoverPort;
     readonly store: rows.RowStore;
     readonly directory: leader.WorkerDirectory;
     readonly workers: leader.WorkerPort;
     readonly adviser: leader.Adviser;
     readonly machines: leader.MachineService;
-    readonly waves: leader.WaveBoard;
+    readonly waves: leader.WavePort;
     readonly policy: decisions.Policy;
     readonly clock: clock.Clock;
     readonly log: observe.Log;
@@ -96,8 +96,10 @@
             ...options.getSettings(),
             store,
             catalog: current,
-            leadership: leftOut.has("prolonging") ? { ...leadership, mayProlong: leadership.mayOrder } : leadership,
-            onDeposed: reason => lease.depose(reason),
+            leadership: leftOut.has("prolonging")
+                ? { ...leadership, mayExtendTaskLeases: leadership.mayIssueOrders }
+                : leadership,
+            onSuperseded: reason => lease.endTerm(reason),
         });
         term = started;
         leadership.signal.addEventListener("abort", () => {
@@ -117,19 +119,25 @@
         peerAddress: options.peerAddress,
         watchHolder: (address, onGone) => {
             const watch = options.watchProcess(address, onGone);
-            return leftOut.has("heartbeats") ? { ...watch, getSilentMs: () => undefined } : watch;
+            return leftOut.has("heartbeats") ? { ...watch, getHeartbeatAgeMs: () => undefined } : watch;
         },
         signal: options.signal,
         power: options.power,
-        getWaiting: () => term?.getWaiting(),
-        onRenewalLate: () => offerTerm(),
+        getWaitingCounts: () => term?.getWaitingCounts(),
+        onRenewalOverdue: () => offerTerm(),
         onElected: openTerm,
     });
     const isStoreAway = () => health.getAwayMs() !== undefined;
-    const handover = leader.createHandover({ ...options, port: options.handover, lease, store, isStoreAway });
+    const handover = leader.createHandover({
+        ...options,
+        port: options.handover,
+        lease,
+        store,
+        isStoreUnreachable: isStoreAway,
+    });
     const offerTerm = () => {
         if (!leftOut.has("handover")) {
-            void handover.offer();
+            void handover.offerLeadership();
         }
     };
     const intake = intakes.createIntake({
