--- a/bench/fuzz.ts
+++ b/bench/fuzz.ts
@@ -36,12 +36,12 @@
             restarts: options.restarts,
             shiftMs: Number(options.shift),
         });
-        soundGivenUp += report.soundGivenUp;
-        if (report.breaches.length === 0) {
+        soundGivenUp += report.wronglyFailedJobs;
+        if (report.violations.length === 0) {
             continue;
         }
         broken++;
-        process.stdout.write(`seed ${seed}: ${report.breaches.join("; ")}\n`);
+        process.stdout.write(`seed ${seed}: ${report.violations.join("; ")}\n`);
         for (const line of options.log ? report.lines : []) {
             process.stdout.write(`${JSON.stringify(line)}\n`);
         }
--- a/soak/__tests__/troubles.test.ts
+++ b/soak/__tests__/troubles.test.ts
@@ -22,13 +22,13 @@
     const endSlower = board.addSlowness("w", 20);
     expect(board.workerFaults.decide("w", "start")).toBe("late");
     expect(board.workerFaults.decide("other", "start")).toBe("none");
-    expect(board.workerFaults.getSlowness("w")).toBe(20);
+    expect(board.workerFaults.getSlowdown("w")).toBe(20);
     endFirst();
     endSlower();
     expect(board.workerFaults.decide("w", "start")).toBe("cut");
-    expect(board.workerFaults.getSlowness("w")).toBe(4);
+    expect(board.workerFaults.getSlowdown("w")).toBe(4);
     endSecond();
     endSlow();
     expect(board.workerFaults.decide("w", "start")).toBe("none");
-    expect(board.workerFaults.getSlowness("w")).toBe(1);
+    expect(board.workerFaults.getSlowdown("w")).toBe(1);
 });
--- a/soak/__tests__/verdict.test.ts
+++ b/soak/__tests__/verdict.test.ts
@@ -51,7 +51,7 @@
 }
 
 function startAt(at: number, workerId = "w") {
-    return { task: TASKS[0]!, run: 1, workerId, lifeId: workerId, at };
+    return { task: TASKS[0]!, run: 1, workerId, incarnationId: workerId, at };
 }
 
 interface Case {
--- a/soak/callers.ts
+++ b/soak/callers.ts
@@ -113,7 +113,7 @@
         run: async (perSecond, signal) => {
             while (!signal.aborted) {
                 const drawn = emulator.createRandomJob(options.jobSource, nextNumber++);
-                const job = emulator.poisonSome(options.poisonSource, drawn);
+                const job = emulator.withRandomCrashes(options.poisonSource, drawn);
                 options.jobs.set(job.jobId, job);
                 const record: verdict.JobRecord = {
                     job,
--- a/soak/site.ts
+++ b/soak/site.ts
@@ -91,7 +91,7 @@
         stopMs: STOP_MS,
         gangTimeoutMs: GANG_TIMEOUT_MS,
         faults: options.workerFaults,
-        getModel: task => emulator.createModel(options.jobs, task),
+        getModel: task => emulator.createTaskModel(options.jobs, task),
         onCrash: id => crash(id),
     });
     const closers: Array<() => void> = [];
--- a/soak/troubles.ts
+++ b/soak/troubles.ts
@@ -132,7 +132,7 @@
         workerFaults: {
             decide: workerId => workers.decide(workerId) ?? "none",
             lateMs: LATE_MS,
-            getSlowness: workerId => Math.max(1, ...(slowness.get(workerId) ?? [])),
+            getSlowdown: workerId => Math.max(1, ...(slowness.get(workerId) ?? [])),
         },
         addStoreFault: store.add,
         addWorkerFault: workers.add,
@@ -212,7 +212,7 @@
                 id => board.addWorkerFault(id, trouble.share, trouble.fault),
             );
         case "forgetHistory":
-            site.store.forgetHistory();
+            site.store.discardHistory();
             return () => undefined;
         case "slowTasks":
             return forEach(pickWorkerIds(site, trouble.target), id => board.addSlowness(id, trouble.factor));
--- a/soak/verdict.ts
+++ b/soak/verdict.ts
@@ -81,9 +81,9 @@
         return [];
     }
     const expected = record.cancelSentAt === undefined
-        ? emulator.getOutcomes(job)
+        ? emulator.getExpectedStates(job)
         : ["cancelled", "completed", "failed"];
-    const isGivenUp = record.state === "failed" && emulator.mayBeGivenUp(job, workers.lossCounts);
+    const isGivenUp = record.state === "failed" && emulator.mayFailByCrashes(job, workers.lossCounts);
     return record.state !== undefined && (expected.includes(record.state) || isGivenUp)
         ? []
         : [`job ${job.jobId} is ${record.state ?? "not shown"}, not ${expected.join(" or ")}`];
@@ -117,7 +117,7 @@
 function checkDrained({ drains, workers, calm }: VerdictInput): string[] {
     return drains.flatMap(drain =>
         workers.starts
-            .filter(start => start.lifeId === drain.lifeId)
+            .filter(start => start.incarnationId === drain.lifeId)
             .filter(start => start.at > drain.at + DRAIN_MS + SLACK_MS && calm.isCalm(drain.at, start.at))
             .map(start =>
                 `${start.task} started on ${drain.lifeId} ${Math.round(start.at - drain.at)} ms after it began to drain`
--- a/src/cli/explainCommand.ts
+++ b/src/cli/explainCommand.ts
@@ -20,15 +20,15 @@
         .action((id: string | undefined, options: ExplainOptions) => {
             const lines = readLines(options.logs ?? [STANDARD_INPUT]);
             if (options.all) {
-                const ledger = explain.keepLedger(lines);
-                output.writeLine(options.json ? JSON.stringify(ledger) : explain.renderLedger(ledger));
+                const ledger = explain.createJobReport(lines);
+                output.writeLine(options.json ? JSON.stringify(ledger) : explain.renderJobReport(ledger));
                 return;
             }
             if (id === undefined) {
                 throw new output.CommandError(result.ResultCode.BadRequest, "needs an id, or --all");
             }
-            const story = explain.tellStory(lines, id);
-            output.writeLine(options.json ? JSON.stringify(story) : explain.renderStory(story));
+            const story = explain.createTimeline(lines, id);
+            output.writeLine(options.json ? JSON.stringify(story) : explain.renderTimeline(story));
             if (story.verdict.kind === "unknown") {
                 throw new output.CommandError(result.ResultCode.NotFound, `no line tells of ${id}`);
             }
@@ -38,7 +38,7 @@
 function readLines(files: readonly string[]): explain.LogLine[] {
     return files.map(file => fs.readFileSync(file, "utf8"))
         .flatMap(text => text.split("\n"))
-        .map(explain.parseLine)
+        .map(explain.parseLogLine)
         .filter(line => line !== undefined);
 }
 
--- a/src/emulator/__tests__/chaos.test.ts
+++ b/src/emulator/__tests__/chaos.test.ts
@@ -64,18 +64,18 @@
     ];
     test.each(seeds)("seed %i keeps every promise", async seed => {
         const report = await emulator.runChaos(seed);
-        expect(report.breaches).toEqual([]);
+        expect(report.violations).toEqual([]);
     });
 
     test.each(seeds)("seed %i keeps every promise, also beside a store that is slow for a while", async seed => {
         const report = await emulator.runChaos(seed, { slowStore: true });
-        expect(report.breaches).toEqual([]);
+        expect(report.violations).toEqual([]);
     });
 
     const withHazards = [...HAZARD_SEEDS.map(([seed]) => seed), ...seeds];
     test.each(withHazards)("seed %i keeps every promise, also where tasks take their workers down", async seed => {
         const report = await emulator.runChaos(seed, { slowStore: true, hazards: true });
-        expect(report.breaches).toEqual([]);
+        expect(report.violations).toEqual([]);
     });
 
     const withRestarts = [...RESTART_SEEDS.map(([seed]) => seed), ...seeds];
@@ -83,7 +83,7 @@
         "seed %i keeps every promise, also where workers start again under their ids",
         async seed => {
             const report = await emulator.runChaos(seed, { slowStore: true, hazards: true, restarts: true });
-            expect(report.breaches).toEqual([]);
+            expect(report.violations).toEqual([]);
         },
     );
 
@@ -92,7 +92,7 @@
         "seed $seed keeps every promise with its faults $shiftMs ms later",
         async ({ seed, shiftMs }) => {
             const report = await emulator.runChaos(seed, { slowStore: true, hazards: true, restarts: true, shiftMs });
-            expect(report.breaches).toEqual([]);
+            expect(report.violations).toEqual([]);
         },
     );
 });
--- a/src/emulator/chaos.ts
+++ b/src/emulator/chaos.ts
@@ -19,9 +19,9 @@
 export interface ChaosReport {
     readonly seed: number;
     /** Broken promises, in words; empty when all were kept. */
-    readonly breaches: readonly string[];
+    readonly violations: readonly string[];
     /** Jobs that could be done and were given up, since workers had crashed under one of their tasks. */
-    readonly soundGivenUp: number;
+    readonly wronglyFailedJobs: number;
     /** Log lines of all instances, in order. */
     readonly lines: ReadonlyArray<Readonly<Record<string, unknown>>>;
 }
@@ -82,9 +82,9 @@
         : undefined;
     const site = sites.createSite({
         clock: time,
-        comesBackUnderId: restarts?.comesBackUnderId,
+        restartsUnderSameId: restarts?.restartsUnderSameId,
         workerRestartMs: hazards?.workerRestartMs,
-        isDirectoryAway: hazards?.isDirectoryAway,
+        isDirectoryUnreachable: hazards?.isDirectoryUnreachable,
         log: createLog(time, lines),
         ...telemetry.createMetrics(),
         instances: INSTANCES,
@@ -93,18 +93,18 @@
         storeFaults: {
             decide: caller => pick(source, storeWindows, time.now(), caller) ?? "none",
             lateMs: 300 + source.nextInt(3_000),
-            getSlowness: () =>
+            getSlowdown: () =>
                 slowSpell && time.now() >= slowSpell.from && time.now() < slowSpell.to ? slowSpell.times : 1,
         },
-        storePartMs: slowSpell ? PART_MS : undefined,
+        storePartBusyMs: slowSpell ? PART_MS : undefined,
         workerFaults: {
             decide: worker => pick(source, workerWindows, time.now(), worker) ?? "none",
             lateMs: 300 + source.nextInt(6_000),
-            getSlowness: worker => worker === getWorkerId(0) && time.now() < slowUntil ? 20 : 1,
+            getSlowdown: worker => worker === getWorkerId(0) && time.now() < slowUntil ? 20 : 1,
         },
     });
     const drawn = range(JOBS).map(number => randomJob.createRandomJob(source, number));
-    const jobs = hazards ? drawn.map(hazards.poison) : drawn;
+    const jobs = hazards ? drawn.map(hazards.withRandomCrashes) : drawn;
     const cancelled = new Set<string>();
     const accepted = new Set<string>();
     const acknowledged = new Set<string>();
@@ -126,15 +126,17 @@
         }
         await time.advance(STEP_MS);
     }
-    const breaches = [...workersInMemory.listBreaches(site.workers)];
+    const breaches = [...workersInMemory.listViolations(site.workers)];
     runOn.forEach(task => breaches.push(`${task} runs on though its job was cancelled`));
     let soundGivenUp = 0;
     for (const job of jobs) {
         const state = await ask(time, site, job);
         const expected = cancelled.has(job.jobId)
             ? ["cancelled", "completed", "failed"]
-            : randomJob.getOutcomes(job);
-        if (state === "failed" && !expected.includes(state) && randomJob.mayBeGivenUp(job, site.workers.lossCounts)) {
+            : randomJob.getExpectedStates(job);
+        if (
+            state === "failed" && !expected.includes(state) && randomJob.mayFailByCrashes(job, site.workers.lossCounts)
+        ) {
             soundGivenUp++;
         }
         else if (accepted.has(job.jobId) && !expected.includes(state)) {
@@ -142,7 +144,7 @@
         }
     }
     site.close();
-    return { seed, breaches, soundGivenUp, lines };
+    return { seed, violations: breaches, wronglyFailedJobs: soundGivenUp, lines };
 }
 
 interface ChaosEvent {
@@ -203,7 +205,7 @@
             }
             down.add(instance);
             if (silent) {
-                site.silence(instance);
+                site.powerOff(instance);
             }
             else {
                 site.kill(instance);
--- a/src/emulator/hazards.ts
+++ b/src/emulator/hazards.ts
@@ -19,9 +19,9 @@
 
 export interface Hazards {
     readonly workerRestartMs: number;
-    isDirectoryAway(): boolean;
+    isDirectoryUnreachable(): boolean;
     /** The job, some of them with tasks that take their workers down. */
-    poison(job: jobModel.EmulatedJob): jobModel.EmulatedJob;
+    withRandomCrashes(job: jobModel.EmulatedJob): jobModel.EmulatedJob;
     /** What happens to the site, and when. */
     readonly events: ReadonlyArray<{ readonly at: number; act(site: sites.Site): void; }>;
 }
@@ -43,8 +43,8 @@
     const away = drawWindow(source, source.nextInt(3) === 0 ? forMs : 0);
     return {
         workerRestartMs,
-        isDirectoryAway: () => time.now() >= away.from && time.now() < away.to,
-        poison: job => poisonSome(source, job),
+        isDirectoryUnreachable: () => time.now() >= away.from && time.now() < away.to,
+        withRandomCrashes: job => withRandomCrashes(source, job),
         events: [
             ...drawEach(source, MOST_CRASHES, () => drawCrash(source, forMs, racks)),
             ...drawEach(source, MOST_SHRINKS, () => drawShrink(source, forMs, racks)).flat(),
@@ -65,14 +65,14 @@
 export function drawRestarts({ seed, forMs, racks }: Omit<HazardOptions, "clock">): Restarts {
     const source = random.createRandom(seed + FIRST_RESTART_SEED);
     return {
-        comesBackUnderId: () => source.nextInt(2) === 0,
+        restartsUnderSameId: () => source.nextInt(2) === 0,
         events: drawEach(source, MOST_RESTARTS, () => drawRestart(source, forMs, racks)),
     };
 }
 
 export interface Restarts extends Pick<Hazards, "events"> {
     /** Whether a worker that a task has taken down starts again under its id. */
-    comesBackUnderId(): boolean;
+    restartsUnderSameId(): boolean;
 }
 
 /** Far from the seeds of sites, and of what else is drawn apart. */
@@ -94,7 +94,7 @@
 }
 
 /** The job, one of so many with tasks that take their workers down. */
-export function poisonSome(source: random.Random, job: jobModel.EmulatedJob): jobModel.EmulatedJob {
+export function withRandomCrashes(source: random.Random, job: jobModel.EmulatedJob): jobModel.EmulatedJob {
     return source.nextInt(POISON_EVERY) === 0 ? poisonJob(source, job) : job;
 }
 
@@ -143,7 +143,7 @@
 }
 
 function withWorker(site: sites.Site, address: string, act: (id: string) => void): void {
-    const id = site.workers.findAt(address);
+    const id = site.workers.findByAddress(address);
     if (id !== undefined) {
         act(id);
     }
--- a/src/emulator/index.ts
+++ b/src/emulator/index.ts
@@ -1,17 +1,17 @@
 /** Store and workers in memory, with faults: for tests of the whole scheduler and for experiments on a manual clock. */
 export { type ChaosReport, runChaos } from "./chaos";
-export { poisonSome } from "./hazards";
-export { createModel, type EmulatedJob } from "./jobModel";
+export { withRandomCrashes } from "./hazards";
+export { createTaskModel, type EmulatedJob } from "./jobModel";
 export {
     createEmulatedMachines,
     type EmulatedMachines,
     type EmulatedMachinesOptions,
     type MachineFault,
 } from "./machines";
-export { createRandomJob, getOutcomes, mayBeGivenUp } from "./randomJob";
+export { createRandomJob, getExpectedStates, mayFailByCrashes } from "./randomJob";
 export { createSite, getFirstWorkerId, getInstanceName, type Site, type SiteOptions } from "./site";
 export { type StartRecord } from "./startChecks";
 export { createEmulatedStore, type EmulatedStore, type StoreFault, type StoreFaults } from "./store";
-export { type TaskModel } from "./workerLife";
+export { type TaskModel } from "./workerIncarnation";
 export type { OrderFault, WorkerFaults } from "./workerOrders";
-export { createEmulatedWorkers, type EmulatedWorkers, listBreaches } from "./workers";
+export { createEmulatedWorkers, type EmulatedWorkers, listViolations } from "./workers";
--- a/src/emulator/jobModel.ts
+++ b/src/emulator/jobModel.ts
@@ -1,6 +1,6 @@
 /** Jobs whose tasks run on emulated workers. */
 import type * as work from "../work/index";
-import type * as workerLife from "./workerLife";
+import type * as workerLife from "./workerIncarnation";
 
 /** A job and what its tasks really do. */
 export interface EmulatedJob {
@@ -11,7 +11,7 @@
     /** Duration of each step's tasks, as a rule. */
     readonly durationsMs: readonly number[];
     /** By how much the task of that number takes longer than the rule; without it all are the same. */
-    readonly getUnevenness?: (step: number, index: number) => number;
+    readonly getDurationFactor?: (step: number, index: number) => number;
     /** Whether a run of a task fails at its end; by default none does. */
     fails?: (task: string, run: number) => boolean;
     /** How long after its start a task takes its worker down; by default none does. */
@@ -19,7 +19,7 @@
 }
 
 /** What the task of that name does; its job must be known. Without `getMaxAttempts` no number of starts is a breach. */
-export function createModel(
+export function createTaskModel(
     jobs: ReadonlyMap<string, EmulatedJob>,
     task: string,
     getMaxAttempts?: (queue: string) => number | undefined,
@@ -33,7 +33,7 @@
         durationMs: step.lasting
             ? Infinity
             // Whole, so that all that is done is told as 100 percent.
-            : Math.round(job.durationsMs[number]! * (job.getUnevenness?.(number, Number(index)) ?? 1)),
+            : Math.round(job.durationsMs[number]! * (job.getDurationFactor?.(number, Number(index)) ?? 1)),
         gangSize: step.gang ? step.count : 1,
         gang: `${jobId}.${occurrence}.${stepNumber}`,
         checkpoints: step.checkpoints,
--- a/src/emulator/machines.ts
+++ b/src/emulator/machines.ts
@@ -27,16 +27,16 @@
 
 export interface EmulatedMachines {
     readonly service: leader.MachineService;
-    readonly board: leader.WavePort;
+    readonly wavePort: leader.WavePort;
     /** Puts the machine beneath a worker that is there. */
-    put(machineId: string, info: leader.WorkerInfo, workers: workersInMemory.EmulatedWorkers): void;
+    addMachine(machineId: string, info: leader.WorkerInfo, workers: workersInMemory.EmulatedWorkers): void;
     /** Breaches of promises, in words; empty when all were kept. */
-    readonly breaches: readonly string[];
+    readonly violations: readonly string[];
     /** States of waves as they were told. */
     readonly reports: readonly string[];
     /** Tasks that ended because their machine went down. */
-    getTasksEnded(): number;
-    getUpkeeps(): number;
+    countEndedTasks(): number;
+    countUpkeeps(): number;
 }
 
 interface Machine {
@@ -94,7 +94,7 @@
             breaches.push(`${order.machine} goes down while ${down} machines of wave ${wave.number} are down`);
         }
         upkeeps++;
-        tasksEnded += machine.workers.getRunning(machine.info.id);
+        tasksEnded += machine.workers.countRunning(machine.info.id);
         machine.workers.kill(machine.info.id, false);
         machine.served.add(wave.number);
         machine.downFor = wave.number;
@@ -144,7 +144,7 @@
                 return { kind: "unknown", message: "emulated: no answer" };
             },
         },
-        board: {
+        wavePort: {
             getIncomplete: () =>
                 options.waves
                     .filter(wave => !completed.has(wave.number))
@@ -161,12 +161,12 @@
                 return true;
             },
         },
-        put: (machineId, info, workers) => {
+        addMachine: (machineId, info, workers) => {
             machines.set(machineId, { info, workers, lives: 0, served: new Set(), downFor: undefined });
         },
-        breaches,
+        violations: breaches,
         reports,
-        getTasksEnded: () => tasksEnded,
-        getUpkeeps: () => upkeeps,
+        countEndedTasks: () => tasksEnded,
+        countUpkeeps: () => upkeeps,
     };
 }
--- a/src/emulator/randomJob.ts
+++ b/src/emulator/randomJob.ts
@@ -30,7 +30,7 @@
 }
 
 /** The states in which the job may end if nobody cancels it. */
-export function getOutcomes(job: jobModel.EmulatedJob): readonly string[] {
+export function getExpectedStates(job: jobModel.EmulatedJob): readonly string[] {
     if (job.fails?.("0.0.0.1", 2)) {
         return ["failed"];
     }
@@ -47,7 +47,7 @@
 const AT_ONCE_MS = 10;
 
 /** Whether two workers have crashed under one of its tasks. */
-export function mayBeGivenUp(job: jobModel.EmulatedJob, lossCounts: ReadonlyMap<string, number>): boolean {
+export function mayFailByCrashes(job: jobModel.EmulatedJob, lossCounts: ReadonlyMap<string, number>): boolean {
     return [...lossCounts].some(([task, count]) => count >= LEAST_LOSSES && task.startsWith(`${job.jobId}.`));
 }
 
--- a/src/emulator/site.ts
+++ b/src/emulator/site.ts
@@ -24,7 +24,7 @@
     readonly catalog: catalogs.Catalog;
     readonly storeFaults?: stores.StoreFaults;
     /** How long a transaction holds its part of the store; by default parts are never busy. */
-    readonly storePartMs?: number;
+    readonly storePartBusyMs?: number;
     readonly workerFaults?: workerOrders.WorkerFaults;
     readonly adviser?: leader.Adviser;
     readonly machines?: leader.MachineService;
@@ -35,24 +35,24 @@
     /** How long rows of ended jobs stay. */
     readonly retentionMs?: number;
     /** Whether nobody reaches the directory, neither workers nor instances. */
-    isDirectoryAway?(): boolean;
+    isDirectoryUnreachable?(): boolean;
     /** How long a worker is down that a task has taken down. */
     readonly workerRestartMs?: number;
     /** Whether such a worker starts again under its id; by default none does. */
-    comesBackUnderId?(): boolean;
+    restartsUnderSameId?(): boolean;
 }
 
 export interface Site {
     readonly store: stores.EmulatedStore;
     readonly workers: workersInMemory.EmulatedWorkers;
     /** Lets a job be asked for that is not handed in. */
-    know(job: jobModel.EmulatedJob): void;
+    registerJob(job: jobModel.EmulatedJob): void;
     submit(job: jobModel.EmulatedJob, instance: number): Promise<intakes.IntakeReply>;
     cancel(jobId: string, instance: number): Promise<intakes.IntakeReply>;
     getState(jobId: string, instance: number): Promise<intakes.IntakeReply>;
-    count(queue: string, instance: number): Promise<intakes.IntakeReply>;
+    countWaiting(queue: string, instance: number): Promise<intakes.IntakeReply>;
     /** Puts a configuration in force at all instances. */
-    configure(catalog: catalogs.Catalog): void;
+    applyCatalog(catalog: catalogs.Catalog): void;
     /** The instance that leads, if one does. */
     getLeader(): number | undefined;
     isAlive(instance: number): boolean;
@@ -63,7 +63,7 @@
     /** Ends a worker's life; the next one begins under its id `afterMs` later. */
     restartWorker(id: string, afterMs: number): void;
     /** Ends an instance as a loss of power does: nobody is told. */
-    silence(instance: number): void;
+    powerOff(instance: number): void;
     /** Lets an instance stand still, and wake up in the middle of what it was doing. */
     freeze(instance: number, ms: number, suspended: boolean): void;
     /** Starts a killed instance again, as a new life. */
@@ -100,7 +100,7 @@
     const store = stores.createEmulatedStore({
         clock: time,
         latencyMs: STORE_LATENCY_MS,
-        partMs: options.storePartMs,
+        partBusyMs: options.storePartBusyMs,
         faults: options.storeFaults,
     });
     const maxLeaseMs = options.maxLeaseMs ?? DEFAULT_MAX_LEASE_MS;
@@ -111,13 +111,13 @@
         stopMs: STOP_MS,
         faults: options.workerFaults,
         getModel: task =>
-            jobModel.createModel(
+            jobModel.createTaskModel(
                 jobs,
                 task,
                 queue => options.catalog.queues.find(({ name }) => name === queue)?.maxAttempts,
             ),
         onCrash: id => crashWorker(id),
-        canReport: () => !options.isDirectoryAway?.(),
+        canReport: () => !options.isDirectoryUnreachable?.(),
     });
     options.workers.forEach(workers.add);
     const restartWorker = (id: string, afterMs: number) => {
@@ -126,7 +126,7 @@
     };
     /** The worker is silent for some seconds, and then another life of it begins at its address. */
     const crashWorker = (id: string) => {
-        if (options.comesBackUnderId?.()) {
+        if (options.restartsUnderSameId?.()) {
             restartWorker(id, options.workerRestartMs ?? WORKER_RESTART_MS);
             return;
         }
@@ -134,7 +134,7 @@
         workers.kill(id, true);
         time.setTimer(options.workerRestartMs ?? WORKER_RESTART_MS, () => {
             workers.kill(id, false);
-            workers.succeed(id, info);
+            workers.addSuccessor(id, info);
         });
     };
 
@@ -189,7 +189,7 @@
             directory: {
                 follow: (signal, onWorkers) =>
                     workers.directory.follow(signal, listed => {
-                        if (!options.isDirectoryAway?.()) {
+                        if (!options.isDirectoryUnreachable?.()) {
                             onWorkers(listed.map(toOwnTime));
                         }
                     }),
@@ -250,7 +250,7 @@
     return {
         store,
         workers,
-        know: job => void jobs.set(job.jobId, job),
+        registerJob: job => void jobs.set(job.jobId, job),
         submit: (job, instance) => {
             jobs.set(job.jobId, job);
             return instances[instance]!.scheduler.intake.submit(callerOfJob(instance, job.jobId), job.jobId, job.spec);
@@ -258,8 +258,8 @@
         cancel: (jobId, instance) => instances[instance]!.scheduler.intake.cancel(callerOfJob(instance, jobId), jobId),
         getState: (jobId, instance) =>
             instances[instance]!.scheduler.intake.getState(callerOfJob(instance, jobId), jobId),
-        count: (queue, instance) => instances[instance]!.scheduler.intake.count(callerOf(instance, queue, "")),
-        configure: catalog => {
+        countWaiting: (queue, instance) => instances[instance]!.scheduler.intake.count(callerOf(instance, queue, "")),
+        applyCatalog: catalog => {
             current = catalog;
             instances.forEach(instance => instance.scheduler.catalog.applyIfNewer(catalog));
         },
@@ -274,7 +274,7 @@
         crashWorker,
         restartWorker,
         freeze: (number, ms, suspended) => instances[number]!.freezer.freeze(ms, suspended),
-        silence: number => {
+        powerOff: number => {
             silenced.add(getInstanceName(number));
             instances[number]!.controller.abort();
         },
--- a/src/emulator/startChecks.ts
+++ b/src/emulator/startChecks.ts
@@ -1,29 +1,29 @@
 /** What a scheduler must never start, as the emulated workers see it. */
 import * as decisions from "../decisions/index";
 import type * as work from "../work/index";
-import * as workerLife from "./workerLife";
+import * as workerLife from "./workerIncarnation";
 
 export interface StartRecord {
     readonly task: string;
     readonly run: number;
     readonly workerId: string;
     /** Of the worker's life on which it began. */
-    readonly lifeId: string;
+    readonly incarnationId: string;
     readonly at: number;
 }
 
 export interface StartChecks {
     /** Breaches of promises, in words, but for `shrunkStarts`; empty when all were kept. */
-    readonly breaches: readonly string[];
+    readonly violations: readonly string[];
     /** Starts that were sent over a capacity that had shrunk long before: breaches, unless links had held them up. */
-    readonly shrunkStarts: readonly StartRecord[];
+    readonly startsAfterShrink: readonly StartRecord[];
     /** How many workers each task has taken down. */
     readonly crashCounts: ReadonlyMap<string, number>;
-    checkStart(life: workerLife.Life, model: workerLife.TaskModel, start: StartRecord, sentAt: number): void;
+    checkStart(life: workerLife.Incarnation, model: workerLife.TaskModel, start: StartRecord, sentAt: number): void;
     /** The run has ended under that number, as `done` or `failed`. */
-    noteEnd(life: workerLife.Life, run: workerLife.Run, number: number, how: "done" | "failed"): void;
+    noteEnd(life: workerLife.Incarnation, run: workerLife.Run, number: number, how: "done" | "failed"): void;
     /** Ends up to this number are recorded. */
-    noteRecorded(life: workerLife.Life, upTo: number): void;
+    noteRecorded(life: workerLife.Incarnation, upTo: number): void;
     noteCrash(task: string): void;
 }
 
@@ -31,7 +31,7 @@
 interface EndedRun {
     readonly task: string;
     readonly run: number;
-    readonly life: workerLife.Life;
+    readonly life: workerLife.Incarnation;
     readonly number: number;
     readonly maxAttempts: number | undefined;
     recorded: boolean;
@@ -45,7 +45,7 @@
 const CRASH_BUDGET = 3;
 const MOST_STARTS_AFTER = 3;
 
-export function createStartChecks(lives: ReadonlyMap<string, workerLife.Life>): StartChecks {
+export function createStartChecks(lives: ReadonlyMap<string, workerLife.Incarnation>): StartChecks {
     const breaches: string[] = [];
     const shrunkStarts: StartRecord[] = [];
     const crashCounts = new Map<string, number>();
@@ -74,14 +74,14 @@
             breaches.push(`${task} is started again after ${recorded.length} failed runs`);
         }
     };
-    const checkTwice = (life: workerLife.Life, { task, run }: StartRecord) => {
+    const checkTwice = (life: workerLife.Incarnation, { task, run }: StartRecord) => {
         for (const other of lives.values()) {
             if (other.alive && other !== life && other.runs.has(task)) {
                 breaches.push(`${task} run ${run} is started on ${life.info.id} while it runs on ${other.info.id}`);
             }
         }
     };
-    const checkCapacity = (life: workerLife.Life, start: StartRecord, sentAt: number) => {
+    const checkCapacity = (life: workerLife.Incarnation, start: StartRecord, sentAt: number) => {
         const sum: work.Resources = workerLife.sumNeeds(life);
         if (decisions.fitsWithin(sum, workerLife.getCapacitySince(life, sentAt - SHRINK_GRACE_MS))) {
             return;
@@ -104,8 +104,8 @@
         }
     };
     return {
-        breaches,
-        shrunkStarts,
+        violations: breaches,
+        startsAfterShrink: shrunkStarts,
         crashCounts,
         checkStart: (life, model, start, sentAt) => {
             checkDone(start.task);
--- a/src/emulator/store.ts
+++ b/src/emulator/store.ts
@@ -19,7 +19,7 @@
     decide(caller: string, call: "transact" | "read" | "feed"): StoreFault;
     readonly lateMs: number;
     /** How many times slower than usual the store is; by default it is not. */
-    getSlowness?(): number;
+    getSlowdown?(): number;
 }
 
 export interface EmulatedStoreOptions {
@@ -30,7 +30,7 @@
      * How long a transaction holds its part, which takes one after another, as many times longer as the store is slower; by
      * default parts are never busy.
      */
-    readonly partMs?: number;
+    readonly partBusyMs?: number;
     readonly faults?: StoreFaults;
 }
 
@@ -42,7 +42,7 @@
     remove(row: rows.RowKey): void;
     getRows(table: string): readonly rows.Row[];
     /** Forgets the history: who follows has to read anew. */
-    forgetHistory(): void;
+    discardHistory(): void;
 }
 
 const NO_FAULTS: StoreFaults = { decide: () => "none", lateMs: 0 };
@@ -60,7 +60,7 @@
     const waiters = new Set<() => void>();
     /** When each part has carried out all that it has taken. */
     const busyUntil = new Map<string, number>();
-    const getLatencyMs = () => options.latencyMs * (faults.getSlowness?.() ?? 1);
+    const getLatencyMs = () => options.latencyMs * (faults.getSlowdown?.() ?? 1);
 
     const write = (puts: readonly rows.RowPut[], removals: readonly rows.RowKey[]) => {
         version++;
@@ -114,7 +114,7 @@
     };
     /** One transaction of a part after another; a caller that gives up does not take its call back. */
     const transactInTurn = async (tx: rows.RowTransaction, timeoutMs: number): Promise<rows.TransactResult> => {
-        const partMs = (options.partMs ?? 0) * (faults.getSlowness?.() ?? 1);
+        const partMs = (options.partBusyMs ?? 0) * (faults.getSlowdown?.() ?? 1);
         const [first] = [...tx.puts, ...tx.removals, ...tx.conditions];
         const now = time.now();
         const turnAt = Math.max(now, busyUntil.get(first?.part ?? "") ?? 0);
@@ -201,7 +201,7 @@
         put: row => write([row], []),
         remove: row => write([], [row]),
         getRows: table => list(table),
-        forgetHistory: () => {
+        discardHistory: () => {
             history = [];
             forgottenUpTo = version + 1;
             version++;
--- a/src/emulator/workerLife.ts
+++ b/src/emulator/workerIncarnation.ts
@@ -38,7 +38,7 @@
     readonly failsSoon: boolean;
 }
 
-export interface Life {
+export interface Incarnation {
     info: leader.WorkerInfo;
     /** On the wall clock, as the worker tells it. */
     readonly bornAt: number;
@@ -62,16 +62,16 @@
     /** Capacities that it had before, each with the time at which it was changed. */
     readonly earlierCapacities: Array<{ readonly capacity: work.Resources; readonly until: number; }>;
     /** Another life has begun at its address. */
-    succeeded: boolean;
+    hasSuccessor: boolean;
 }
 
 /** What the life's clock shows at our time `now`. */
-export function readClock(life: Life, now: number): number {
+export function readClock(life: Incarnation, now: number): number {
     return now - life.clockZeroAt;
 }
 
 /** The capacity that starts may still count on: the largest since that time, in each dimension. */
-export function getCapacitySince(life: Life, since: number): work.Resources {
+export function getCapacitySince(life: Incarnation, since: number): work.Resources {
     const counted = life.earlierCapacities.filter(entry => entry.until >= since).map(entry => entry.capacity);
     return [life.info.capacity, ...counted].reduce((largest, capacity) => ({
         cpuMillis: Math.max(largest.cpuMillis, capacity.cpuMillis),
@@ -81,7 +81,7 @@
 }
 
 /** What its tasks take of a worker's capacity. */
-export function sumNeeds(life: Life): work.Resources {
+export function sumNeeds(life: Incarnation): work.Resources {
     const sum = { cpuMillis: 0, memoryMb: 0, accelerators: 0 };
     for (const running of life.runs.values()) {
         sum.cpuMillis += running.model.needs.cpuMillis;
@@ -92,7 +92,7 @@
 }
 
 /** How many times slower a run is for being far from its data, or its gang for lying on more than one rack. */
-export function getFarFactor(run: Run, life: Life, gang: readonly Life[]): number {
+export function getFarFactor(run: Run, life: Incarnation, gang: readonly Incarnation[]): number {
     const racks = new Set(gang.map(member => member.info.rack));
     const isFar = (run.model.sameRack && racks.size > 1)
         || (run.model.dataRack !== undefined && run.model.dataRack !== life.info.rack);
--- a/src/emulator/workerOrders.ts
+++ b/src/emulator/workerOrders.ts
@@ -2,7 +2,7 @@
 import type * as clock from "../clock/index";
 import type * as leader from "../leader/index";
 import type * as startChecks from "./startChecks";
-import * as workerLife from "./workerLife";
+import * as workerLife from "./workerIncarnation";
 
 export type OrderFault =
     | "none"
@@ -19,7 +19,7 @@
     decide(workerId: string, call: "start" | "stop" | "look" | "pace"): OrderFault;
     readonly lateMs: number;
     /** How many times slower than usual the worker's tasks are; `Infinity`: they stand still. */
-    getSlowness(workerId: string): number;
+    getSlowdown(workerId: string): number;
     /** Whether what is started there now fails a moment later; by default nothing does. */
     isFailing?(workerId: string): boolean;
 }
@@ -30,18 +30,18 @@
     readonly maxLeaseMs: number;
     readonly stopMs: number;
     readonly faults: WorkerFaults;
-    readonly lives: ReadonlyMap<string, workerLife.Life>;
+    readonly lives: ReadonlyMap<string, workerLife.Incarnation>;
     readonly checks: startChecks.StartChecks;
     getModel(task: string): workerLife.TaskModel;
     /** A run has begun; returns the record of its start. */
-    onStart(life: workerLife.Life, run: workerLife.Run): startChecks.StartRecord;
+    onStart(life: workerLife.Incarnation, run: workerLife.Run): startChecks.StartRecord;
 }
 
 /** The port of all emulated workers together. */
 export function createWorkerPort(options: WorkerPortOptions): leader.WorkerPort {
     const { clock: time, faults, lives, checks } = options;
 
-    const start = (life: workerLife.Life, order: leader.StartOrder, sentAt: number): leader.OrderAnswer => {
+    const start = (life: workerLife.Incarnation, order: leader.StartOrder, sentAt: number): leader.OrderAnswer => {
         const refusal = checkFence(life, order.fencingToken);
         if (refusal) {
             return refusal;
@@ -72,7 +72,7 @@
         checks.checkStart(life, model, options.onStart(life, run), sentAt);
         return { kind: "accepted", workerClock: workerLife.readClock(life, time.now()) };
     };
-    const stop = (life: workerLife.Life, order: leader.RunOrder): leader.OrderAnswer => {
+    const stop = (life: workerLife.Incarnation, order: leader.RunOrder): leader.OrderAnswer => {
         const refusal = checkFence(life, order.fencingToken);
         if (refusal) {
             return refusal;
@@ -84,18 +84,18 @@
         life.closedRuns.set(order.task, Math.max(order.run, life.closedRuns.get(order.task) ?? 0));
         return { kind: "accepted", workerClock: workerLife.readClock(life, time.now()) };
     };
-    const checkFence = (life: workerLife.Life, token: number): leader.OrderAnswer | undefined => {
+    const checkFence = (life: workerLife.Incarnation, token: number): leader.OrderAnswer | undefined => {
         if (token < life.fence) {
             return { kind: "refused", reason: "fence", workerClock: workerLife.readClock(life, time.now()) };
         }
         life.fence = token;
         return undefined;
     };
-    const prolong = (life: workerLife.Life, deadline: number) => {
+    const prolong = (life: workerLife.Incarnation, deadline: number) => {
         const until = deadline + life.clockZeroAt;
         life.deadline = Math.max(life.deadline, Math.min(until, time.now() + options.maxLeaseMs));
     };
-    const look = async (life: workerLife.Life, order: leader.PollOrder): Promise<leader.PollAnswer> => {
+    const look = async (life: workerLife.Incarnation, order: leader.PollOrder): Promise<leader.PollAnswer> => {
         const refusal = checkFence(life, order.fencingToken);
         if (refusal) {
             return refusal as leader.PollAnswer;
@@ -124,7 +124,7 @@
             ended: [...life.ends],
         };
     };
-    const waitForEnd = (life: workerLife.Life, ms: number) =>
+    const waitForEnd = (life: workerLife.Incarnation, ms: number) =>
         new Promise<void>(resolve => {
             const finish = () => {
                 cancel();
@@ -139,12 +139,12 @@
         worker: leader.WorkerAddress,
         kind: "start" | "stop" | "look" | "pace",
         timeoutMs: number,
-        carryOut: (life: workerLife.Life) => T | Promise<T>,
+        carryOut: (life: workerLife.Incarnation) => T | Promise<T>,
     ): Promise<T | leader.OrderAnswer> => {
         const fault = faults.decide(worker.name, kind);
         await time.sleep(options.latencyMs);
         const life = lives.get(worker.name);
-        if (life?.succeeded && fault !== "cut") {
+        if (life?.hasSuccessor && fault !== "cut") {
             return { kind: "otherLife" };
         }
         if (!life?.alive || fault === "cut") {
--- a/src/emulator/workers.ts
+++ b/src/emulator/workers.ts
@@ -6,7 +6,7 @@
 import * as leader from "../leader/index";
 import type * as work from "../work/index";
 import * as startChecks from "./startChecks";
-import * as workerLife from "./workerLife";
+import * as workerLife from "./workerIncarnation";
 import * as workerOrders from "./workerOrders";
 
 export interface EmulatedWorkersOptions {
@@ -29,7 +29,7 @@
     readonly directory: leader.WorkerDirectory;
     add(info: leader.WorkerInfo): void;
     /** Begins another life at the address of one that is over, which then says so to whoever calls the old one. */
-    succeed(id: string, info: leader.WorkerInfo): void;
+    addSuccessor(id: string, info: leader.WorkerInfo): void;
     /** Begins another life under the id of one that is over, or that this ends. */
     restart(id: string): void;
     /** Changes the worker's capacity; the directory tells of it later. */
@@ -42,13 +42,13 @@
     /** What the worker says of itself, or said last. */
     getInfo(id: string): leader.WorkerInfo;
     /** The worker that lives at the address now. */
-    findAt(address: string): string | undefined;
+    findByAddress(address: string): string | undefined;
     /** How many tasks run there. */
-    getRunning(id: string): number;
+    countRunning(id: string): number;
     /** Names of all tasks that run, or are being stopped, anywhere. */
     getRunningTasks(): readonly string[];
     /** What the tasks there take of the worker's capacity; `undefined` once its life is over. */
-    getUsed(id: string): work.Resources | undefined;
+    getUsedResources(id: string): work.Resources | undefined;
     /** Breaches of promises, in words, but for `shrunkStarts`; empty when all were kept. */
     readonly breaches: readonly string[];
     readonly starts: readonly startChecks.StartRecord[];
@@ -72,12 +72,12 @@
 /** The directory tells of a change up to this much later. */
 const DIRECTORY_LAG_MS = 600;
 
-const NO_FAULTS: workerOrders.WorkerFaults = { decide: () => "none", lateMs: 0, getSlowness: () => 1 };
+const NO_FAULTS: workerOrders.WorkerFaults = { decide: () => "none", lateMs: 0, getSlowdown: () => 1 };
 
 export function createEmulatedWorkers(options: EmulatedWorkersOptions): EmulatedWorkers {
     const { clock: time } = options;
     const faults = options.faults ?? NO_FAULTS;
-    const lives = new Map<string, workerLife.Life>();
+    const lives = new Map<string, workerLife.Incarnation>();
     const starts: startChecks.StartRecord[] = [];
     const doneCounts = new Map<string, number>();
     const aloneEnds: startChecks.StartRecord[] = [];
@@ -86,7 +86,7 @@
     const checks = startChecks.createStartChecks(lives);
     const gangTimeoutMs = options.gangTimeoutMs ?? Infinity;
 
-    const end = (life: workerLife.Life, run: workerLife.Run, how: leader.EndKind) => {
+    const end = (life: workerLife.Incarnation, run: workerLife.Run, how: leader.EndKind) => {
         life.runs.delete(run.task);
         life.closedRuns.set(run.task, Math.max(run.run, life.closedRuns.get(run.task) ?? 0));
         const savedMs = run.model.checkpoints
@@ -110,7 +110,7 @@
         [...life.waiters].forEach(wake => wake());
     };
     const findGang = (run: workerLife.Run) => {
-        const members: Array<{ life: workerLife.Life; run: workerLife.Run; }> = [];
+        const members: Array<{ life: workerLife.Incarnation; run: workerLife.Run; }> = [];
         for (const life of lives.values()) {
             for (const other of life.alive ? life.runs.values() : []) {
                 if (other.model.gang === run.model.gang && other.run === run.run) {
@@ -120,8 +120,8 @@
         }
         return members;
     };
-    const advance = (life: workerLife.Life) => {
-        const slowness = faults.getSlowness(life.info.id);
+    const advance = (life: workerLife.Incarnation) => {
+        const slowness = faults.getSlowdown(life.info.id);
         for (const run of [...life.runs.values()]) {
             if (!life.runs.has(run.task)) {
                 continue;
@@ -147,7 +147,7 @@
                         task: run.task,
                         run: run.run,
                         workerId: life.info.id,
-                        lifeId: getLifeId(life),
+                        incarnationId: getLifeId(life),
                         at: time.now(),
                     });
                     end(life, run, "alone");
@@ -164,7 +164,7 @@
             }
         }
     };
-    const report = (life: workerLife.Life) => {
+    const report = (life: workerLife.Incarnation) => {
         if (options.canReport?.() !== false) {
             life.report = { info: life.info, at: time.now() };
         }
@@ -185,7 +185,7 @@
     };
     time.setTimer(TICK_MS, tick);
 
-    const crash = (life: workerLife.Life, run: workerLife.Run) => {
+    const crash = (life: workerLife.Incarnation, run: workerLife.Run) => {
         if (life.alive && life.runs.get(run.task) === run) {
             checks.noteCrash(run.task);
             options.onCrash?.(life.info.id);
@@ -205,7 +205,7 @@
                 task: run.task,
                 run: run.run,
                 workerId: life.info.id,
-                lifeId: getLifeId(life),
+                incarnationId: getLifeId(life),
                 at: time.now(),
             };
             starts.push(record);
@@ -234,7 +234,7 @@
             waiters: new Set(),
             lapsedEnd: 0,
             earlierCapacities: [],
-            succeeded: false,
+            hasSuccessor: false,
         });
     };
     const kill = (id: string, listed: boolean) => {
@@ -251,10 +251,10 @@
         life.runs.clear();
     };
     return {
-        breaches: checks.breaches,
+        breaches: checks.violations,
         starts,
         aloneEnds,
-        shrunkStarts: checks.shrunkStarts,
+        shrunkStarts: checks.startsAfterShrink,
         crashCounts: checks.crashCounts,
         lossTimes,
         lossCounts,
@@ -267,8 +267,8 @@
             // The machine beneath stays.
             lives.get(id)!.earlierCapacities.push(...earlierCapacities);
         },
-        succeed: (id, info) => {
-            lives.get(id)!.succeeded = true;
+        addSuccessor: (id, info) => {
+            lives.get(id)!.hasSuccessor = true;
             add(info);
         },
         resize: (id, capacity) => {
@@ -278,11 +278,12 @@
         },
         kill,
         getRunningTasks: () => [...lives.values()].flatMap(life => [...life.runs.keys()]),
-        findAt: address => [...lives.values()].find(life => life.alive && life.info.address === address)?.info.id,
+        findByAddress: address =>
+            [...lives.values()].find(life => life.alive && life.info.address === address)?.info.id,
         getBornAt: id => lives.get(id)!.bornAt,
         getInfo: id => lives.get(id)!.info,
-        getRunning: id => lives.get(id)!.runs.size,
-        getUsed: id => {
+        countRunning: id => lives.get(id)!.runs.size,
+        getUsedResources: id => {
             const life = lives.get(id)!;
             return life.alive ? workerLife.sumNeeds(life) : undefined;
         },
@@ -306,16 +307,16 @@
     };
 }
 
-function getLifeId({ info, bornAt }: workerLife.Life): string {
+function getLifeId({ info, bornAt }: workerLife.Incarnation): string {
     return leader.getIncarnationId({ name: info.id, startedAt: bornAt });
 }
 
-function toListed({ report, bornAt }: workerLife.Life): leader.ListedWorker {
+function toListed({ report, bornAt }: workerLife.Incarnation): leader.ListedWorker {
     const { id, ...info } = report.info;
     return { ...info, name: id, startedAt: bornAt, reportedAt: report.at };
 }
 
 /** Breaches in words, where nothing holds orders up. */
-export function listBreaches(workers: EmulatedWorkers): readonly string[] {
+export function listViolations(workers: EmulatedWorkers): readonly string[] {
     return [...workers.breaches, ...workers.shrunkStarts.map(startChecks.describeShrunkStart)];
 }
--- a/src/experiment/generate.ts
+++ b/src/experiment/generate.ts
@@ -109,7 +109,7 @@
             account: getAccountName(pickAccount(load, source)),
             spec: { payload: "", steps, repeats: 0, firstDueAt: 0, periodMs: 0 },
             durationsMs,
-            getUnevenness: (step, index) => unevenness[step]![index]!,
+            getDurationFactor: (step, index) => unevenness[step]![index]!,
             getCrashAfterMs: task => crashing && task.endsWith(".0.0") ? CRASH_AFTER_MS : undefined,
             fails: (task, run) => poisoned || isUnlucky(task, run, failures, item.fails),
         },
--- a/src/experiment/play.ts
+++ b/src/experiment/play.ts
@@ -71,7 +71,7 @@
         samples,
         ...record.getLosses(),
         workerCalls: affected.countWorkerCalls(),
-        breaches: emulator.listBreaches(site.workers),
+        breaches: emulator.listViolations(site.workers),
         simulatedMs: time.now() - startAt,
     };
 }
@@ -86,7 +86,7 @@
     let used = 0;
     let freeWhole = 0;
     for (const info of infos) {
-        const taken = workers.getUsed(info.id);
+        const taken = workers.getUsedResources(info.id);
         if (taken) {
             total += info.capacity.accelerators;
             used += taken.accelerators;
--- a/src/experiment/troubles.ts
+++ b/src/experiment/troubles.ts
@@ -60,7 +60,7 @@
                 return isStruck("cut", workerId, now()) || isStruck("zoneCut", workerId, now()) ? "cut" : "none";
             },
             lateMs: 0,
-            getSlowness: workerId => {
+            getSlowdown: workerId => {
                 if (isStruck("hang", workerId, now())) {
                     return Infinity;
                 }
@@ -118,7 +118,7 @@
                 if (trouble.kind === "leaderLost") {
                     const instance = site.getLeader() ?? 0;
                     silenced.set(instance, atMs + trouble.forMs);
-                    site.silence(instance);
+                    site.powerOff(instance);
                 }
                 if (trouble.kind === "leave") {
                     workerIds.forEach(id => emulated.drain(id, trouble.leftMs));
@@ -148,7 +148,7 @@
 }
 
 function withWorkerAt(emulated: emulator.EmulatedWorkers, address: string, act: (id: string) => void): void {
-    const id = emulated.findAt(address);
+    const id = emulated.findByAddress(address);
     if (id !== undefined) {
         act(id);
     }
--- a/src/explain/__tests__/ledger.test.ts
+++ b/src/explain/__tests__/jobReport.test.ts
@@ -32,8 +32,8 @@
     return line(second, "jobEnded", { job: JOB, state, objectiveMs: 4_000, expectedMs: 2_000, coreSeconds: 9 });
 }
 
-function keep(lines: readonly string[]): explain.Ledger {
-    return explain.keepLedger(lines.map(explain.parseLine).filter(parsed => parsed !== undefined));
+function keep(lines: readonly string[]): explain.JobReport {
+    return explain.createJobReport(lines.map(explain.parseLogLine).filter(parsed => parsed !== undefined));
 }
 
 interface Case {
@@ -132,7 +132,7 @@
             line(9, "workThrownAway", { token: 2, coreSeconds: { preempted: 4 } }),
         ]);
         expect(ledger.thrownAway).toEqual({ preempted: 11, jobCancelled: 2 });
-        expect(explain.renderLedger(ledger)).toContain("13 core-seconds  all");
+        expect(explain.renderJobReport(ledger)).toContain("13 core-seconds  all");
     });
 
     test("tells what became of the victim of a stop and of the job that it was made for", () => {
@@ -152,7 +152,7 @@
             forServed: "inTime",
             lossCoreSeconds: 7,
         }]);
-        const text = explain.renderLedger(ledger);
+        const text = explain.renderJobReport(ledger);
         expect(text).toContain("q (late) for urgent (inTime)");
         expect(text).toContain(`${JOB}  q  late (completed)  9000 of 4000 ms, 9 core-seconds: longRun 7000`);
     });
--- a/src/explain/__tests__/story.test.ts
+++ b/src/explain/__tests__/timeline.test.ts
@@ -77,11 +77,11 @@
 
 describe("explain", () => {
     test.each(cases)("$name", ({ lines, verdict, text }) => {
-        const parsed = lines.map(explain.parseLine).filter(entry => entry !== undefined);
+        const parsed = lines.map(explain.parseLogLine).filter(entry => entry !== undefined);
         for (const id of verdict.kind === "unknown" ? [JOB] : [JOB, "r1"]) {
-            const story = explain.tellStory(parsed, id);
+            const story = explain.createTimeline(parsed, id);
             expect(story.verdict).toEqual(verdict);
-            expect(explain.renderStory(story).split("\n").at(-1)).toBe(text);
+            expect(explain.renderTimeline(story).split("\n").at(-1)).toBe(text);
         }
     });
 
@@ -91,8 +91,8 @@
             line(2, "leadershipTaken", { token: 2 }, "b"),
             line(2, "leadershipTaken", { token: 9 }, "elsewhere"),
             `  0.001 a ${submitted(0, "accepted")}`,
-        ].map(explain.parseLine).filter(entry => entry !== undefined);
-        expect(explain.tellStory(parsed, JOB).lines.map(entry => entry.event))
+        ].map(explain.parseLogLine).filter(entry => entry !== undefined);
+        expect(explain.createTimeline(parsed, JOB).lines.map(entry => entry.event))
             .toEqual(["request", "leadershipTaken", "jobEnded"]);
     });
 });
--- a/src/explain/index.ts
+++ b/src/explain/index.ts
@@ -1,5 +1,5 @@
 /** Explains what became of a request, or of all jobs, from log lines alone. */
-export { keepLedger, type Ledger, type LedgerEntry, Served, type StopRecord } from "./ledger";
-export { renderStory } from "./render";
-export { renderLedger } from "./renderLedger";
-export { type LogLine, parseLine, type Story, tellStory, type Verdict } from "./story";
+export { createJobReport, type JobReport, type JobSummary, type PreemptionRecord, Served } from "./jobReport";
+export { renderJobReport } from "./renderJobReport";
+export { renderTimeline } from "./renderTimeline";
+export { createTimeline, type LogLine, parseLogLine, type Timeline, type Verdict } from "./timeline";
--- a/src/explain/ledger.ts
+++ b/src/explain/jobReport.ts
@@ -5,7 +5,7 @@
  * of a job add up. What is left of a job's time is work that was done once.
  */
 import * as runEnds from "./runEnds";
-import type * as story from "./story";
+import type * as story from "./timeline";
 
 export const Served = { InTime: "inTime", Late: "late", Missed: "missed", Refused: "refused", Open: "open" } as const;
 export type Served = typeof Served[keyof typeof Served];
@@ -16,7 +16,7 @@
  */
 export type Delays = Readonly<Record<string, number>>;
 
-export interface LedgerEntry {
+export interface JobSummary {
     readonly jobId: string;
     readonly queue: string;
     readonly account: string;
@@ -37,7 +37,7 @@
 }
 
 /** A stop of running work for urgent work, and what became of both. */
-export interface StopRecord {
+export interface PreemptionRecord {
     readonly victimQueue: string;
     readonly victimServed: Served;
     readonly forQueue: string;
@@ -45,9 +45,9 @@
     readonly lossCoreSeconds: number;
 }
 
-export interface Ledger {
-    readonly jobs: readonly LedgerEntry[];
-    readonly stops: readonly StopRecord[];
+export interface JobReport {
+    readonly jobs: readonly JobSummary[];
+    readonly stops: readonly PreemptionRecord[];
     /** Core-seconds that all terms together threw away, by cause. */
     readonly thrownAway: Readonly<Record<string, number>>;
 }
@@ -77,7 +77,7 @@
 }
 
 /** Cancelled jobs are left out: nobody waits for them. */
-export function keepLedger(lines: readonly story.LogLine[]): Ledger {
+export function createJobReport(lines: readonly story.LogLine[]): JobReport {
     const tallies = new Map<string, Tally>();
     const stops: story.LogLine[] = [];
     const thrownAwayByTerm = new Map<unknown, Readonly<Record<string, number>>>();
@@ -210,7 +210,7 @@
     return String(name).split(".", 1)[0]!;
 }
 
-function createEntry(jobId: string, tally: Tally): LedgerEntry {
+function createEntry(jobId: string, tally: Tally): JobSummary {
     const { ended, sentAt, acceptedAt } = tally;
     const objectiveMs = ended ? toNumber(ended.fields["objectiveMs"]) : undefined;
     const tookMs = ended && Date.parse(ended.time) - sentAt;
--- a/src/explain/renderLedger.ts
+++ b/src/explain/renderJobReport.ts
@@ -1,11 +1,11 @@
 /** A ledger as text for people: what was served by queue and entry, and what the others lost their time to. */
-import * as ledgers from "./ledger";
+import * as ledgers from "./jobReport";
 
 const KINDS = Object.values(ledgers.Served);
 const NAME_WIDTH = 24;
 const WIDTH = 9;
 
-export function renderLedger({ jobs, stops, thrownAway }: ledgers.Ledger): string {
+export function renderJobReport({ jobs, stops, thrownAway }: ledgers.JobReport): string {
     return [
         ...renderCounts("queue", groupBy(jobs, job => job.queue)),
         "",
@@ -27,7 +27,7 @@
 
 function renderCounts(
     title: string,
-    groups: ReadonlyMap<string, readonly ledgers.LedgerEntry[]>,
+    groups: ReadonlyMap<string, readonly ledgers.JobSummary[]>,
 ): string[] {
     const header = [title.padEnd(NAME_WIDTH), "jobs".padStart(WIDTH), ...KINDS.map(kind => kind.padStart(WIDTH))];
     const rows = [...groups].sort(([a], [b]) => a < b ? -1 : 1).map(([name, jobs]) => [
@@ -38,7 +38,7 @@
     return [header, ...rows].map(cells => cells.join(""));
 }
 
-function renderCauses(jobs: readonly ledgers.LedgerEntry[]): string[] {
+function renderCauses(jobs: readonly ledgers.JobSummary[]): string[] {
     const causes = new Map<string, { jobs: number; coreSeconds: number; ms: number; }>();
     for (const job of jobs) {
         const main = getMainCause(job);
@@ -57,11 +57,11 @@
     );
 }
 
-function getMainCause(job: ledgers.LedgerEntry): string {
+function getMainCause(job: ledgers.JobSummary): string {
     return Object.entries(job.delays).reduce((a, b) => b[1] > a[1] ? b : a)[0];
 }
 
-function renderStops(stops: readonly ledgers.StopRecord[]): string[] {
+function renderStops(stops: readonly ledgers.PreemptionRecord[]): string[] {
     const groups = groupBy(
         stops,
         stop => `${stop.victimQueue} (${stop.victimServed}) for ${stop.forQueue} (${stop.forServed})`,
@@ -80,7 +80,7 @@
     );
 }
 
-function renderJob(job: ledgers.LedgerEntry): string {
+function renderJob(job: ledgers.JobSummary): string {
     const delays = Object.entries(job.delays).filter(([, ms]) => ms > 0).sort((a, b) => b[1] - a[1])
         .map(([cause, ms]) => `${cause} ${Math.round(ms)}`);
     return `${new Date(job.sentAt).toISOString()}  ${job.jobId}  ${job.queue}  ${job.served} (${job.state})  `
--- a/src/explain/render.ts
+++ b/src/explain/renderTimeline.ts
@@ -1,7 +1,7 @@
 /** A story as text for people. */
-import type * as story from "./story";
+import type * as story from "./timeline";
 
-export function renderStory(told: story.Story): string {
+export function renderTimeline(told: story.Timeline): string {
     const lines = told.lines.map(line => `${line.time}  ${line.instance}  ${line.event}${renderFields(line.fields)}`);
     return [...lines, "", renderVerdict(told.verdict)].join("\n");
 }
--- a/src/explain/runEnds.ts
+++ b/src/explain/runEnds.ts
@@ -1,5 +1,5 @@
 /** Lines that tell of a run that did not end well. */
-import type * as story from "./story";
+import type * as story from "./timeline";
 
 /** Why the run ended, in a word; `undefined` for lines that tell of something else. */
 export function getEndReason({ event, fields }: story.LogLine): string | undefined {
--- a/src/explain/story.ts
+++ b/src/explain/timeline.ts
@@ -8,7 +8,7 @@
     readonly fields: Readonly<Record<string, unknown>>;
 }
 
-export interface Story {
+export interface Timeline {
     readonly jobId: string | undefined;
     /** What concerns the request, oldest first, with what befell the instances that took part meanwhile. */
     readonly lines: readonly LogLine[];
@@ -47,7 +47,7 @@
 ]);
 
 /** Reads one line: a JSON object, whatever stands before it. */
-export function parseLine(text: string): LogLine | undefined {
+export function parseLogLine(text: string): LogLine | undefined {
     const start = text.indexOf("{");
     if (start < 0) {
         return undefined;
@@ -65,7 +65,7 @@
 }
 
 /** `id` is a job's or a request's. */
-export function tellStory(all: readonly LogLine[], id: string): Story {
+export function createTimeline(all: readonly LogLine[], id: string): Timeline {
     const jobId = findJobId(all, id);
     const own = all.filter(line => concerns(line, id) || (jobId !== undefined && concerns(line, jobId)));
     own.sort(byTime);
--- a/src/rows/__tests__/followTable.test.ts
+++ b/src/rows/__tests__/followTable.test.ts
@@ -217,7 +217,7 @@
         expect(opened.known.get("config")?.value).toBe("1");
         opened.store.put({ table: TABLE, part: "", key: "config", value: "2" });
         if (forgets) {
-            opened.store.forgetHistory();
+            opened.store.discardHistory();
         }
         await opened.time.advance(knownUntil - changedAt);
         expect(opened.known.get("config")).toEqual({ value: "2", at: expect.any(Number) });
--- a/src/scheduler/__tests__/cancelledStarts.test.ts
+++ b/src/scheduler/__tests__/cancelledStarts.test.ts
@@ -21,7 +21,7 @@
             return workerId === struck.workerId && time.now() < struck.at! + cutForMs ? "cut" : "none";
         },
         lateMs: LATE_MS,
-        getSlowness: () => 1,
+        getSlowdown: () => 1,
     });
     return { struck, faults };
 }
@@ -49,7 +49,7 @@
             "cancelled",
         );
         if (removesStarter) {
-            site.silence(starter);
+            site.powerOff(starter);
         }
         const reachableAt = Math.max(struck.at! + cutForMs, struck.at! + LATE_MS);
         await site.clock.advance(reachableAt - site.clock.now() + STOPPED_WITHIN_MS);
--- a/src/scheduler/__tests__/capacity.test.ts
+++ b/src/scheduler/__tests__/capacity.test.ts
@@ -63,7 +63,7 @@
         await site.clock.advance(6_000);
         const state = await fixtures.advanceUntilSettled(site.clock, site.getState(job.jobId, 1));
         site.close();
-        expect(emulator.listBreaches(site.workers)).toEqual([]);
+        expect(emulator.listViolations(site.workers)).toEqual([]);
         expect(state).toEqual({ kind: "state", state: testCase.state });
     });
 });
@@ -90,7 +90,7 @@
         urgent.map(job => fixtures.advanceUntilSettled(site.clock, site.getState(job.jobId, 1))),
     );
     site.close();
-    expect(emulator.listBreaches(site.workers)).toEqual([]);
+    expect(emulator.listViolations(site.workers)).toEqual([]);
     expect(states).toEqual(urgent.map(() => ({ kind: "state", state: "completed" })));
 });
 
--- a/src/scheduler/__tests__/crashAttribution.test.ts
+++ b/src/scheduler/__tests__/crashAttribution.test.ts
@@ -35,7 +35,7 @@
 const crashRackOf = ({ site }: Script, workerId: string) => {
     const { rack } = site.workers.getInfo(workerId);
     for (let number = 0; number < RACKS * PER_RACK; number++) {
-        const id = site.workers.findAt(fixtures.createWorkerInfo(number, PER_RACK).address);
+        const id = site.workers.findByAddress(fixtures.createWorkerInfo(number, PER_RACK).address);
         if (id !== undefined && id !== workerId && site.workers.getInfo(id).rack === rack) {
             site.crashWorker(id);
         }
@@ -117,7 +117,7 @@
                     return cut.has(worker) ? "cut" : decide?.({ site, cut }, call, calls.get(call)!, worker) ?? "none";
                 },
                 lateMs: 0,
-                getSlowness: () => 1,
+                getSlowdown: () => 1,
             }),
         });
         await site.clock.advance(1_000);
@@ -147,7 +147,7 @@
         await site.clock.advance(STEP_MS);
     }
     for (let number = 0; number < 4; number++) {
-        const id = site.workers.findAt(fixtures.createWorkerInfo(number).address);
+        const id = site.workers.findByAddress(fixtures.createWorkerInfo(number).address);
         if (id !== undefined) {
             site.crashWorker(id);
         }
--- a/src/scheduler/__tests__/crashes.test.ts
+++ b/src/scheduler/__tests__/crashes.test.ts
@@ -122,7 +122,7 @@
 
 /** Takes down the worker at the address of that number, in whichever life it is. */
 function crash(site: fixtures.TestSite, number: number): void {
-    const id = site.workers.findAt(fixtures.createWorkerInfo(number).address);
+    const id = site.workers.findByAddress(fixtures.createWorkerInfo(number).address);
     if (id !== undefined) {
         site.crashWorker(id);
     }
@@ -132,14 +132,14 @@
 function drainWorkerOf(site: fixtures.TestSite, run: number): void {
     const starts = fixtures.getStarts(site, fixtures.createJob(1));
     expect(starts).toHaveLength(run);
-    expect(site.workers.getRunning(starts.at(-1)!.workerId)).toBe(1);
+    expect(site.workers.countRunning(starts.at(-1)!.workerId)).toBe(1);
     site.workers.drain(starts.at(-1)!.workerId, 10_000);
 }
 
 /** Takes down the worker that runs the job's task. */
 function crashWorkerOf(site: fixtures.TestSite, jobNumber: number): void {
     const latest = fixtures.getStarts(site, fixtures.createJob(jobNumber)).at(-1)!;
-    expect(site.workers.getRunning(latest.workerId)).toBe(1);
+    expect(site.workers.countRunning(latest.workerId)).toBe(1);
     site.crashWorker(latest.workerId);
 }
 
@@ -197,7 +197,7 @@
                 return "none";
             },
             lateMs: 0,
-            getSlowness: () => 1,
+            getSlowdown: () => 1,
         }),
     }, [job]);
     await site.clock.advance(2_000);
--- a/src/scheduler/__tests__/endsAfterLeaseExpiry.test.ts
+++ b/src/scheduler/__tests__/endsAfterLeaseExpiry.test.ts
@@ -17,7 +17,7 @@
                 decide: id =>
                     id === WORKER && time.now() >= CUT_AT_MS && time.now() < CUT_AT_MS + cutForMs ? "cut" : "none",
                 lateMs: 0,
-                getSlowness: () => 1,
+                getSlowdown: () => 1,
             }),
         }, [short, long]);
         await site.clock.advance(40_000);
@@ -46,7 +46,7 @@
             workerFaults: time => ({
                 decide: id => first.has(id) && time.now() >= CUT_AT_MS && time.now() < 15_000 ? "cut" : "none",
                 lateMs: 0,
-                getSlowness: id => first.has(id) ? 1 : 20,
+                getSlowdown: id => first.has(id) ? 1 : 20,
             }),
         });
         await site.clock.advance(1_000);
--- a/src/scheduler/__tests__/failingWorkers.test.ts
+++ b/src/scheduler/__tests__/failingWorkers.test.ts
@@ -14,7 +14,7 @@
             workerFaults: () => ({
                 decide: () => "none",
                 lateMs: 0,
-                getSlowness: () => 1,
+                getSlowdown: () => 1,
                 isFailing: id => id === FAILING,
             }),
         }, [filling]);
--- a/src/scheduler/__tests__/failover.test.ts
+++ b/src/scheduler/__tests__/failover.test.ts
@@ -23,7 +23,7 @@
             end: (site: fixtures.TestSite) => void site.stop(site.getLeader()!),
             mostMs: 400,
         },
-        { name: "silent", end: (site: fixtures.TestSite) => site.silence(site.getLeader()!), mostMs: 1_100 },
+        { name: "silent", end: (site: fixtures.TestSite) => site.powerOff(site.getLeader()!), mostMs: 1_100 },
     ];
     test.each(cases)("a leader that is $name is succeeded in time", async ({ end, mostMs }) => {
         expect(await measureFailoverMs(end)).toBeLessThan(mostMs);
@@ -133,7 +133,7 @@
         {
             name: "that may still be there, with a successor that comes back: the first one's leases are waited for",
             act: async (site: fixtures.TestSite) => {
-                site.silence(site.getLeader()!);
+                site.powerOff(site.getLeader()!);
                 await site.clock.advance(3_000);
                 const successor = site.getLeader()!;
                 site.kill(successor);
@@ -147,7 +147,7 @@
             name: "that may still be there, with a successor that hands over: the first one's leases are waited for",
             act: async (site: fixtures.TestSite) => {
                 const first = site.getLeader()!;
-                site.silence(first);
+                site.powerOff(first);
                 await site.clock.advance(3_000);
                 const successor = site.getLeader()!;
                 await fixtures.advanceUntilSettled(site.clock, site.stop(successor));
--- a/src/scheduler/__tests__/failures.test.ts
+++ b/src/scheduler/__tests__/failures.test.ts
@@ -90,7 +90,7 @@
         jobs: MIXED_JOBS,
         workerFaults: time => {
             const next = between<emulator.OrderFault>(time, 0, 4_000, 3, "late", "none");
-            return { decide: (_id, call) => call === "start" ? next() : "none", lateMs: 2_500, getSlowness: () => 1 };
+            return { decide: (_id, call) => call === "start" ? next() : "none", lateMs: 2_500, getSlowdown: () => 1 };
         },
         runMs: 40_000,
     },
@@ -101,7 +101,7 @@
         jobs: MIXED_JOBS,
         workerFaults: time => {
             const next = between<emulator.OrderFault>(time, 0, 4_000, 4, "loseAnswer", "none");
-            return { decide: () => next(), lateMs: 0, getSlowness: () => 1 };
+            return { decide: () => next(), lateMs: 0, getSlowdown: () => 1 };
         },
         runMs: 40_000,
     },
@@ -172,7 +172,7 @@
                 return (id === "worker-0" || id === "worker-1") && now > 500 && now < 3_500 ? "cut" : "none";
             },
             lateMs: 0,
-            getSlowness: () => 1,
+            getSlowdown: () => 1,
         }),
         runMs: 40_000,
     },
@@ -184,7 +184,7 @@
         workerFaults: () => ({
             decide: () => "none",
             lateMs: 0,
-            getSlowness: id => id === "worker-1" ? Infinity : 1,
+            getSlowdown: id => id === "worker-1" ? Infinity : 1,
         }),
         runMs: 20_000,
     },
--- a/src/scheduler/__tests__/fixtures.ts
+++ b/src/scheduler/__tests__/fixtures.ts
@@ -109,16 +109,16 @@
         catalog: options.catalog ?? CATALOG,
         retentionMs: options.retentionMs,
         workerRestartMs: options.workerRestartMs,
-        isDirectoryAway: () => options.isDirectoryUnreachable?.(time) ?? false,
+        isDirectoryUnreachable: () => options.isDirectoryUnreachable?.(time) ?? false,
         policy: options.policy,
         adviser: options.adviser,
         machines: machines?.service,
-        waves: machines?.board,
+        waves: machines?.wavePort,
         storeFaults: options.storeFaults?.(time),
-        storePartMs: options.storePartMs,
+        storePartBusyMs: options.storePartMs,
         workerFaults: options.workerFaults?.(time),
     });
-    workers.forEach((info, number) => machines?.put(`m${number}`, info, site.workers));
+    workers.forEach((info, number) => machines?.addMachine(`m${number}`, info, site.workers));
     return { ...site, clock: time, lines, metrics };
 }
 
--- a/src/scheduler/__tests__/progress.test.ts
+++ b/src/scheduler/__tests__/progress.test.ts
@@ -90,7 +90,7 @@
             workerFaults: time => ({
                 decide: () => "none",
                 lateMs: 0,
-                getSlowness: id => {
+                getSlowdown: id => {
                     const stands = standsStillAt !== undefined && time.now() > startedAt + standsStillAt;
                     if (id !== firstWorker) {
                         return 1;
--- a/src/scheduler/__tests__/scheduler.test.ts
+++ b/src/scheduler/__tests__/scheduler.test.ts
@@ -75,7 +75,7 @@
     test("a job that nobody handed in is unknown, to whoever asks", async () => {
         const handedIn = fixtures.createJob(1);
         const site = await fixtures.openSiteWithJobs({}, [handedIn]);
-        site.know(fixtures.createJob(2));
+        site.registerJob(fixtures.createJob(2));
         const other = fixtures.createJob(2).jobId;
         expect(await stateOf(site, other)).toBe("unknownJob");
         expect((await fixtures.advanceUntilSettled(site.clock, site.cancel(other, 0))).kind).toBe("unknownJob");
--- a/src/scheduler/__tests__/slowStore.test.ts
+++ b/src/scheduler/__tests__/slowStore.test.ts
@@ -19,7 +19,7 @@
             storeFaults: time => ({
                 decide: () => "none",
                 lateMs: 0,
-                getSlowness: () => time.now() >= LEAD_MS && time.now() < LEAD_MS + SLOW_FOR_MS ? SLOWNESS : 1,
+                getSlowdown: () => time.now() >= LEAD_MS && time.now() < LEAD_MS + SLOW_FOR_MS ? SLOWNESS : 1,
             }),
         });
 
--- a/src/scheduler/__tests__/unansweredStarts.test.ts
+++ b/src/scheduler/__tests__/unansweredStarts.test.ts
@@ -20,7 +20,7 @@
                     return fault;
                 },
                 lateMs: 0,
-                getSlowness: () => 1,
+                getSlowdown: () => 1,
             }),
         }, [job]);
         await site.clock.advance(12_000);
--- a/src/scheduler/__tests__/unknownService.test.ts
+++ b/src/scheduler/__tests__/unknownService.test.ts
@@ -16,7 +16,7 @@
                 return "none";
             },
             lateMs: 0,
-            getSlowness: () => 1,
+            getSlowdown: () => 1,
         }),
     }, []);
     site.workers.add(STRANGE);
@@ -43,7 +43,7 @@
             refusesOverload: false,
             spare: false,
         }];
-        site.configure({ ...fixtures.CATALOG, version: 2, services });
+        site.applyCatalog({ ...fixtures.CATALOG, version: 2, services });
         await site.clock.advance(1_000);
         expect(looked).toContain(STRANGE.id);
         site.close();
@@ -52,7 +52,7 @@
     test("keeps its session as long as something runs there", async () => {
         const site = await fixtures.openSiteWithJobs({ workers: 1 }, [fixtures.createJob(1, { estimateMs: 8_000 })]);
         await site.clock.advance(500);
-        site.configure({ ...fixtures.CATALOG, version: 2, services: [] });
+        site.applyCatalog({ ...fixtures.CATALOG, version: 2, services: [] });
         await site.clock.advance(12_000);
         expect(site.workers.doneCounts.size).toBe(1);
         expect(site.workers.starts).toHaveLength(1);
--- a/src/scheduler/__tests__/upkeep.test.ts
+++ b/src/scheduler/__tests__/upkeep.test.ts
@@ -114,12 +114,12 @@
         await fixtures.advanceUntilSettled(site.clock, site.submit(job, 1));
         await site.clock.advance(45_000);
         const completed = waves.filter(wave => item.completes?.includes(wave.number) ?? true);
-        expect(machines!.breaches).toEqual([]);
+        expect(machines!.violations).toEqual([]);
         expect(unstored).toEqual([]);
         expect(machines!.reports.filter(report => report.endsWith("completed")).sort())
             .toEqual(completed.map(wave => `${wave.number} completed`));
-        expect(machines!.getUpkeeps()).toBe(completed.flatMap(wave => wave.machines).length);
-        expect(machines!.getTasksEnded()).toBe(0);
+        expect(machines!.countUpkeeps()).toBe(completed.flatMap(wave => wave.machines).length);
+        expect(machines!.countEndedTasks()).toBe(0);
         expect(site.workers.breaches).toEqual([]);
         site.close();
     });
