--- a/bench/faults.ts
+++ b/bench/faults.ts
@@ -14,7 +14,7 @@
     readonly run: (site: processes.ProcessSite) => Promise<void>;
 }
 
-interface FaultResult extends siteModule.Verdict {
+interface FaultResult extends siteModule.ViolationCounts {
     readonly fault: string;
     readonly sent: number;
     readonly completed: number;
@@ -129,7 +129,7 @@
         const time = clock.createSystemClock();
         const rng = random.createRandom(seed);
         const log = load.createCallerLog();
-        const client = load.createCallersClient(() => rng.pick(site.instances).callers, 32);
+        const client = load.createCallersClient(() => rng.pick(site.instances).callersOrigin, 32);
         const runner = load.createLoad({ clock: time, rng, client, log, patienceMs: PATIENCE_MS });
         const stopped = async.createAbortController();
         const running = runner.run(siteModule.getDemoStreams("cedarflue", LOAD_SCALE), stopped.signal);
@@ -156,7 +156,7 @@
             notRun: summary.notRun,
             interactiveGoodput: getRate(faultAt, Math.max(endedAt, faultAt + 1000))
                 / getRate(startedAt + 1000, faultAt),
-            ...siteModule.judge(log.getRecords(), journal, Infinity),
+            ...siteModule.countViolations(log.getRecords(), journal, Infinity),
         };
     }
     finally {
--- a/bench/path.ts
+++ b/bench/path.ts
@@ -81,7 +81,7 @@
     const headers = { "authorization": `Bearer ${ACCOUNT_KEY}`, "content-type": "application/json" };
     let next = 0;
     return async () => {
-        const { callers } = site.instances[next++ % site.instances.length]!;
+        const { callersOrigin: callers } = site.instances[next++ % site.instances.length]!;
         const res = await undici.request(`${callers}/v1/jobs`, { dispatcher: agent, method: "POST", headers, body });
         const answer = await res.body.text();
         if (res.statusCode !== 200) {
--- a/bench/policy.ts
+++ b/bench/policy.ts
@@ -3,7 +3,7 @@
 import * as configuration from "../src/configuration/index";
 import * as settings from "../src/settings/index";
 import * as site from "../standins/site/index";
-import * as day from "./policy/day";
+import * as day from "./policy/simulateDay";
 import * as workload from "./policy/workload";
 
 interface Trial {
@@ -60,12 +60,12 @@
             ? topology.racks.map(rack => [rack.workers[0]!.id, 12 * HOUR_MS] as const).slice(0, 3)
             : [],
     );
-    const result = day.runDay({
+    const result = day.simulateDay({
         current,
         jobs: workload.createWorkload(trial.deployment, trial.mix, trial.seed),
         seed: trial.seed,
-        failing,
-        countFromMs: 0,
+        failingUntilMs: failing,
+        measureFromMs: 0,
         endMs: 3 * workload.DAY_MS,
     });
     const completions = result.completions.map(item => item.completionMs);
@@ -84,9 +84,9 @@
         utilisation: result.utilisation,
         lostWorkHours: result.lostWorkMs / HOUR_MS,
         evictions: result.evictions,
-        reclaims: result.reclaims.length,
-        reclaimsWithinGrace: result.reclaims.filter(ms => ms <= graceMs).length,
-        interactiveP99Ms: getPercentile(result.interactiveMs, 0.99),
+        reclaims: result.reclaimDelaysMs.length,
+        reclaimsWithinGrace: result.reclaimDelaysMs.filter(ms => ms <= graceMs).length,
+        interactiveP99Ms: getPercentile(result.interactiveLatenciesMs, 0.99),
         unfinished: result.unfinished,
         byAccount: Object.fromEntries(contracts.accounts.map(account => [
             account.name,
--- a/bench/policy/day.ts
+++ b/bench/policy/simulateDay.ts
@@ -18,8 +18,8 @@
     readonly lostWorkMs: number;
     readonly evictions: number;
     /** Milliseconds from each decision to reclaim until the guaranteed job started. */
-    readonly reclaims: readonly number[];
-    readonly interactiveMs: readonly number[];
+    readonly reclaimDelaysMs: readonly number[];
+    readonly interactiveLatenciesMs: readonly number[];
     readonly decisions: number;
 }
 
@@ -36,9 +36,9 @@
     readonly jobs: readonly workload.WorkloadJob[];
     readonly seed: number;
     /** Workers that fail every task, and until when. */
-    readonly failing: ReadonlyMap<string, number>;
+    readonly failingUntilMs: ReadonlyMap<string, number>;
     /** Jobs that arrive before are run but not counted: the site starts empty. */
-    readonly countFromMs: number;
+    readonly measureFromMs: number;
     readonly endMs: number;
     readonly onEvict?: (cause: string, jobId: string) => void;
 }
@@ -67,7 +67,7 @@
 const INTERACTIVE_RUN_MS = 60;
 const MOVE_AFTER_MS = 2000;
 
-export function runDay(options: DayOptions): DayResult {
+export function simulateDay(options: DayOptions): DayResult {
     const { current } = options;
     const rng = random.createRandom(options.seed);
     const events = new heapJs.Heap<Event>((a, b) => a.at - b.at);
@@ -194,7 +194,7 @@
         }
         passDue.add(job.zone);
         all.delete(job.queued.jobId);
-        if (job.spec.arrivesAt >= options.countFromMs) {
+        if (job.spec.arrivesAt >= options.measureFromMs) {
             completions.push({
                 account: job.spec.account,
                 jobClass: job.spec.jobClass,
@@ -227,7 +227,7 @@
             reclaims.push(now - reclaimed);
             reclaimAt.delete(job.queued.jobId);
         }
-        const faulty = members.find(member => (options.failing.get(member.workerId) ?? 0) > now);
+        const faulty = members.find(member => (options.failingUntilMs.get(member.workerId) ?? 0) > now);
         const restoreMs = job.queued.savedMs > 0 ? RESTORE_MS : 0;
         const leftMs = faulty ? FAIL_AFTER_MS : job.spec.runMs - job.queued.savedMs + restoreMs;
         time.setTimer(leftMs, () => {
@@ -345,7 +345,7 @@
             every(ms, run);
         });
     };
-    every(SAMPLE_MS, () => now >= options.countFromMs && now <= options.countFromMs + 24 * 3_600_000 && sample());
+    every(SAMPLE_MS, () => now >= options.measureFromMs && now <= options.measureFromMs + 24 * 3_600_000 && sample());
     every(TICK_MS, () => {
         refreshHealth();
         moveWaiting();
@@ -366,13 +366,13 @@
 
     return {
         completions,
-        unfinished: [...all.values()].filter(job => job.spec.arrivesAt >= options.countFromMs).length,
+        unfinished: [...all.values()].filter(job => job.spec.arrivesAt >= options.measureFromMs).length,
         fragmentation: sums.fragmentation / sums.samples,
         utilisation: sums.utilisation / sums.samples,
         lostWorkMs,
         evictions,
-        reclaims,
-        interactiveMs,
+        reclaimDelaysMs: reclaims,
+        interactiveLatenciesMs: interactiveMs,
         decisions,
     };
 }
--- a/bench/processes.ts
+++ b/bench/processes.ts
@@ -16,8 +16,8 @@
 
 export interface ProcessInstance extends SiteProcess {
     readonly zone: string;
-    readonly callers: string;
-    readonly operators: string;
+    readonly callersOrigin: string;
+    readonly operatorsOrigin: string;
 }
 
 export interface ProcessSite {
@@ -114,8 +114,8 @@
         const item: ProcessInstance = {
             ...start(id, ["serve", "--config", file]),
             zone,
-            callers: `http://${HOST}:${callers}`,
-            operators: `http://${HOST}:${operators}`,
+            callersOrigin: `http://${HOST}:${callers}`,
+            operatorsOrigin: `http://${HOST}:${operators}`,
         };
         instances.push(item);
         return item;
@@ -146,7 +146,7 @@
     item: ProcessInstance,
 ): Promise<import("../src/instance/index").InstanceStatus | undefined> {
     try {
-        const res = await undici.request(`${item.operators}/v1/status`, {
+        const res = await undici.request(`${item.operatorsOrigin}/v1/status`, {
             headers: { authorization: `Bearer ${OPERATOR_KEY}` },
         });
         return res.statusCode === 200
--- a/soak/__tests__/troubles.test.ts
+++ b/soak/__tests__/faultInjection.test.ts
@@ -1,10 +1,10 @@
 import * as random from "../../src/random/index";
-import * as troubles from "../troubles";
+import * as troubles from "../faultInjection";
 
 const OPTIONS = { instances: 5, workers: 9, lastMs: 20_000, count: 200 };
 
 test("the plan depends on the seed alone, every kind comes, and all troubles end in time", () => {
-    const create = (seed: number) => troubles.createTroubles(random.createRandom(seed), OPTIONS);
+    const create = (seed: number) => troubles.createFaultSchedule(random.createRandom(seed), OPTIONS);
     expect(create(7)).toEqual(create(7));
     expect(create(7)).not.toEqual(create(8));
     expect(new Set(create(7).map(item => item.trouble.kind)).size).toBe(14);
@@ -15,7 +15,7 @@
 });
 
 test("faults that overlap end one by one", () => {
-    const board = troubles.createFaultBoard(random.createRandom(1));
+    const board = troubles.createFaultInjector(random.createRandom(1));
     const endFirst = board.addWorkerFault("w", 1, "late");
     const endSecond = board.addWorkerFault("w", 1, "cut");
     const endSlow = board.addSlowness("w", 4);
--- a/soak/__tests__/verdict.test.ts
+++ b/soak/__tests__/violations.test.ts
@@ -1,6 +1,6 @@
 import type * as emulator from "../../src/emulator/index";
 import * as work from "../../src/work/index";
-import * as verdict from "../verdict";
+import * as verdict from "../violations";
 
 const JOB: emulator.EmulatedJob = {
     jobId: "00000000000000aa",
@@ -16,8 +16,8 @@
     durationsMs: [1_000],
 };
 const TASKS = [`${JOB.jobId}.0.0.0`, `${JOB.jobId}.0.0.1`];
-const ALWAYS_CALM: verdict.Calm = { isCalm: () => true };
-const NEVER_CALM: verdict.Calm = { isCalm: () => false };
+const ALWAYS_CALM: verdict.FaultFreeTimes = { isFaultFree: () => true };
+const NEVER_CALM: verdict.FaultFreeTimes = { isFaultFree: () => false };
 
 function createRecord(fields: Partial<verdict.JobRecord>): verdict.JobRecord {
     return {
@@ -59,7 +59,7 @@
     readonly record?: Partial<verdict.JobRecord>;
     readonly workers?: Partial<Seen>;
     readonly drainedAt?: number;
-    readonly calm?: verdict.Calm;
+    readonly calm?: verdict.FaultFreeTimes;
     /** Part of the one breach; without it there is none. */
     readonly breach?: string;
 }
@@ -139,11 +139,11 @@
 ];
 
 test.each(cases)("$name", ({ record = {}, workers = {}, drainedAt, calm = ALWAYS_CALM, breach }) => {
-    const breaches = verdict.findBreaches({
+    const breaches = verdict.findViolations({
         jobs: [createRecord(record)],
         workers: createWorkers(workers),
         drains: drainedAt === undefined ? [] : [{ lifeId: "w", at: drainedAt }],
-        calm,
+        faultFreeTimes: calm,
     });
     expect(breaches).toEqual(breach === undefined ? [] : [expect.stringContaining(breach)]);
 });
@@ -152,7 +152,7 @@
     const record = createRecord({});
     const half = createWorkers({ doneCounts: new Map([[TASKS[0]!, 1]]) });
     const whole = createWorkers({ doneCounts: new Map(TASKS.map(task => [task, 1])) });
-    expect(verdict.checkShownState(record, "completed", half)).toEqual([expect.stringContaining(TASKS[1]!)]);
-    expect(verdict.checkShownState(record, "completed", whole)).toEqual([]);
-    expect(verdict.checkShownState(record, "running", half)).toEqual([]);
+    expect(verdict.checkReportedState(record, "completed", half)).toEqual([expect.stringContaining(TASKS[1]!)]);
+    expect(verdict.checkReportedState(record, "completed", whole)).toEqual([]);
+    expect(verdict.checkReportedState(record, "running", half)).toEqual([]);
 });
--- a/soak/callers.ts
+++ b/soak/callers.ts
@@ -5,8 +5,8 @@
 import type * as clock from "../src/clock/index";
 import * as emulator from "../src/emulator/index";
 import type * as random from "../src/random/index";
-import type * as balancers from "./balancer";
-import * as verdict from "./verdict";
+import type * as balancers from "./loadBalancer";
+import * as verdict from "./violations";
 
 export interface CallersOptions {
     readonly clock: clock.Clock;
@@ -15,7 +15,7 @@
     readonly jobSource: random.Random;
     /** For which jobs have tasks that take their workers down. */
     readonly poisonSource: random.Random;
-    readonly balancer: balancers.Balancer;
+    readonly balancer: balancers.LoadBalancer;
     readonly workers: emulator.EmulatedWorkers;
     readonly queues: readonly catalogs.Queue[];
     readonly key: string;
@@ -26,7 +26,7 @@
 export interface Callers {
     readonly records: readonly verdict.JobRecord[];
     /** What was shown in contradiction to what had happened. */
-    readonly breaches: readonly string[];
+    readonly violations: readonly string[];
     /** Hands in jobs, so many a second on average, until the signal. */
     run(perSecond: number, signal: AbortSignal): Promise<void>;
     /** Whether every job that was accepted has come to an end, and no caller is still trying. */
@@ -91,7 +91,7 @@
             const reply = await client.getState(balancer.pick(), getQueue(job), key, job.jobId);
             if (reply.kind === "state") {
                 record.state = reply.state;
-                breaches.push(...verdict.checkShownState(record, reply.state, options.workers));
+                breaches.push(...verdict.checkReportedState(record, reply.state, options.workers));
             }
         }
     };
@@ -109,7 +109,7 @@
     };
     return {
         records,
-        breaches,
+        violations: breaches,
         run: async (perSecond, signal) => {
             while (!signal.aborted) {
                 const drawn = emulator.createRandomJob(options.jobSource, nextNumber++);
--- a/soak/troubles.ts
+++ b/soak/faultInjection.ts
@@ -10,7 +10,7 @@
 /** A trouble's target: one instance or worker by number, whoever leads, or all. */
 type Target = number | "leader" | "all";
 
-export type Trouble =
+export type InjectedFault =
     /** The process dies and is started again after `forMs`. */
     | { readonly kind: "kill" | "terminate"; readonly target: Target; }
     | { readonly kind: "pause"; readonly target: Target; }
@@ -39,11 +39,11 @@
     /** The worker drains for `forMs`, and is then replaced. */
     | { readonly kind: "drain"; readonly target: Target; };
 
-export interface TimedTrouble {
+export interface ScheduledFault {
     /** Milliseconds from the start of the run. */
     readonly at: number;
     readonly forMs: number;
-    readonly trouble: Trouble;
+    readonly trouble: InjectedFault;
 }
 
 /** Longest trouble: beyond the longest lease of a worker. */
@@ -54,7 +54,7 @@
 /** One of so many troubles strikes all at once. */
 const ALL_EVERY = 6;
 
-export interface TroubleOptions {
+export interface FaultScheduleOptions {
     readonly instances: number;
     readonly workers: number;
     /** Troubles begin and end within this time. */
@@ -62,7 +62,7 @@
     readonly count: number;
 }
 
-export function createTroubles(source: random.Random, options: TroubleOptions): TimedTrouble[] {
+export function createFaultSchedule(source: random.Random, options: FaultScheduleOptions): ScheduledFault[] {
     const { lastMs } = options;
     return Array.from({ length: options.count }, () => {
         const at = source.nextInt(lastMs - 1_000);
@@ -71,7 +71,7 @@
     }).sort((a, b) => a.at - b.at);
 }
 
-function createTrouble(source: random.Random, options: TroubleOptions): Trouble {
+function createTrouble(source: random.Random, options: FaultScheduleOptions): InjectedFault {
     const instance = (): Target => {
         if (source.nextInt(ALL_EVERY) === 0) {
             return "all";
@@ -80,7 +80,7 @@
     };
     const worker = (): Target => source.nextInt(ALL_EVERY) === 0 ? "all" : source.nextInt(options.workers);
     const share = () => 0.1 + 0.9 * source.nextFloat();
-    const kinds: ReadonlyArray<() => Trouble> = [
+    const kinds: ReadonlyArray<() => InjectedFault> = [
         () => ({ kind: "kill", target: instance() }),
         () => ({ kind: "terminate", target: instance() }),
         () => ({ kind: "pause", target: instance() }),
@@ -100,7 +100,10 @@
 }
 
 /** Workers that shrink; drawn apart, so that the other troubles of a seed stay as they were. */
-export function createShrinks(source: random.Random, { workers, lastMs }: TroubleOptions): TimedTrouble[] {
+export function createCapacityReductions(
+    source: random.Random,
+    { workers, lastMs }: FaultScheduleOptions,
+): ScheduledFault[] {
     return Array.from({ length: source.nextInt(MOST_SHRINKS + 1) }, () => ({
         at: source.nextInt(lastMs - 1_000),
         forMs: 1_000 + source.nextInt(LONGEST_MS - 1_000),
@@ -111,7 +114,7 @@
 const MOST_SHRINKS = 3;
 
 /** Faults of store and workers that are in force. */
-export interface FaultBoard {
+export interface FaultInjector {
     readonly storeFaults: emulator.StoreFaults;
     readonly workerFaults: emulator.WorkerFaults;
     /** Each returns what ends the fault. */
@@ -123,7 +126,7 @@
 /** Calls that are carried out late: up to this long after their caller has given up. */
 const LATE_MS = 2_500;
 
-export function createFaultBoard(source: random.Random): FaultBoard {
+export function createFaultInjector(source: random.Random): FaultInjector {
     const store = createFaults<emulator.StoreFault>(source);
     const workers = createFaults<emulator.OrderFault>(source);
     const slowness = new Map<string, number[]>();
@@ -166,7 +169,7 @@
 }
 
 /** Begins the trouble; returns what ends it, to be called once. */
-export function begin(trouble: Trouble, site: sites.Site, board: FaultBoard): () => void {
+export function injectFault(trouble: InjectedFault, site: sites.Site, board: FaultInjector): () => void {
     switch (trouble.kind) {
         case "kill":
         case "terminate":
@@ -188,9 +191,15 @@
         case "storeLink":
             return forEach(pickInstances(site, trouble.target), number => cut(site.storeLinks[number]!, trouble.state));
         case "entryLink":
-            return forEach(pickInstances(site, trouble.target), number => cut(site.entryLinks[number]!, trouble.state));
+            return forEach(
+                pickInstances(site, trouble.target),
+                number => cut(site.callerLinks[number]!, trouble.state),
+            );
         case "workerLink":
-            return forEach(pickWorkers(site, trouble.target), number => cut(site.places[number]!.link, trouble.state));
+            return forEach(
+                pickWorkers(site, trouble.target),
+                number => cut(site.workerHosts[number]!.link, trouble.state),
+            );
         case "slowStore":
             return forEach(
                 pickInstances(site, trouble.target),
@@ -199,7 +208,7 @@
         case "slowWorker":
             return forEach(
                 pickWorkers(site, trouble.target),
-                number => slow(site.places[number]!.link, trouble.delayMs),
+                number => slow(site.workerHosts[number]!.link, trouble.delayMs),
             );
         case "storeFault":
             return forEach(
@@ -218,23 +227,23 @@
             return forEach(pickWorkerIds(site, trouble.target), id => board.addSlowness(id, trouble.factor));
         case "loseWorker":
             return forEach(pickWorkers(site, trouble.target), number => {
-                site.places[number]!.kill(trouble.told);
-                return () => site.places[number]!.revive();
+                site.workerHosts[number]!.killWorker(trouble.told);
+                return () => site.workerHosts[number]!.startWorker();
             });
         case "shrink":
             return forEach(pickWorkers(site, trouble.target), number => {
-                site.places[number]!.resize(trouble.share);
-                return () => site.places[number]!.resize(1);
+                site.workerHosts[number]!.resize(trouble.share);
+                return () => site.workerHosts[number]!.resize(1);
             });
         case "drain":
             return forEach(pickWorkers(site, trouble.target), number => {
-                const place = site.places[number]!;
-                const id = place.getId();
+                const place = site.workerHosts[number]!;
+                const id = place.getWorkerId();
                 place.drain(DRAIN_REMAINING_MS);
                 return () => {
-                    if (place.getId() === id) {
-                        place.kill(true);
-                        place.revive();
+                    if (place.getWorkerId() === id) {
+                        place.killWorker(true);
+                        place.startWorker();
                     }
                 };
             });
@@ -267,9 +276,11 @@
 }
 
 function pickWorkers(site: sites.Site, target: Target): number[] {
-    return typeof target === "number" ? [target] : site.places.map((_, number) => number);
+    return typeof target === "number" ? [target] : site.workerHosts.map((_, number) => number);
 }
 
 function pickWorkerIds(site: sites.Site, target: Target): string[] {
-    return pickWorkers(site, target).map(number => site.places[number]!.getId()).filter(id => id !== undefined);
+    return pickWorkers(site, target).map(number => site.workerHosts[number]!.getWorkerId()).filter(id =>
+        id !== undefined
+    );
 }
--- a/soak/instance.ts
+++ b/soak/instance.ts
@@ -20,10 +20,10 @@
 export interface Instance {
     readonly name: string;
     /** `IP:PORT` for callers, and of the readiness check. */
-    readonly callers: string;
-    readonly readiness: string;
+    readonly callerAddress: string;
+    readonly readinessAddress: string;
     /** Rises with each start. */
-    getLife(): number;
+    getIncarnation(): number;
     isRunning(): boolean;
     start(): void;
     kill(): void;
@@ -32,7 +32,7 @@
     pause(): void;
     resume(): void;
     /** Resolves when no process is left. */
-    end(): Promise<void>;
+    killAndWait(): Promise<void>;
 }
 
 const PROGRAM = path.join(__dirname, "../platform/main.js");
@@ -93,9 +93,9 @@
     atExit.add(kill);
     return {
         name: options.name,
-        callers,
-        readiness,
-        getLife: () => life,
+        callerAddress: callers,
+        readinessAddress: readiness,
+        getIncarnation: () => life,
         isRunning,
         start: () => {
             if (isRunning()) {
@@ -121,7 +121,7 @@
         },
         pause: () => signal("SIGSTOP"),
         resume: () => signal("SIGCONT"),
-        end: async () => {
+        killAndWait: async () => {
             kill();
             if (isRunning()) {
                 await new Promise<void>(resolve => child!.once("exit", () => resolve()));
--- a/soak/main.ts
+++ b/soak/main.ts
@@ -5,17 +5,17 @@
 
 const SIZES = {
     /** Jobs take two thirds of the accelerators on average; more than fits would make every job late. */
-    small: { instances: 5, workers: 9, troubles: 12, jobsPerSecond: 1.5, otherQueues: 0 },
+    small: { instances: 5, workers: 9, faultCount: 12, jobsPerSecond: 1.5, otherQueues: 0 },
     /** A link of 7 Mbit/s, as the weakest have, needs 1.5 s for such a configuration. */
     grown: {
         instances: 6,
         workers: 9,
-        troubles: 12,
+        faultCount: 12,
         jobsPerSecond: 1.5,
         otherQueues: 5_000,
         storeBytesPerSecond: 875_000,
     },
-    large: { instances: 160, workers: 180, troubles: 30, jobsPerSecond: 25, otherQueues: 0 },
+    large: { instances: 160, workers: 180, faultCount: 30, jobsPerSecond: 25, otherQueues: 0 },
 } as const;
 
 interface Options {
@@ -47,25 +47,25 @@
     const first = Number(options.seed);
     let broken = 0;
     for (let seed = first; seed < first + Number(options.seeds); seed++) {
-        const report = await runs.run({
+        const report = await runs.runSoak({
             ...SIZES[options.size],
             seed,
-            troubleMs: Number(options.seconds) * 1_000,
+            faultPhaseMs: Number(options.seconds) * 1_000,
             addressBlock: Number(options.block),
-            say: line => {
+            onProgress: line => {
                 if (options.verbose) {
                     print(line);
                 }
             },
         });
-        const failed = report.breaches.length > 0;
+        const failed = report.violations.length > 0;
         broken += failed ? 1 : 0;
         print(
-            `seed ${seed}: ${failed ? `${report.breaches.length} broken promises` : "ok"}; `
+            `seed ${seed}: ${failed ? `${report.violations.length} broken promises` : "ok"}; `
                 + `${report.accepted} of ${report.jobs} jobs accepted, ${report.starts} starts`
                 + (failed ? `; output in ${report.folder}` : ""),
         );
-        report.breaches.forEach(breach => print(`  ${breach}`));
+        report.violations.forEach(breach => print(`  ${breach}`));
         if (!failed && !options.keep) {
             fs.rmSync(report.folder, { recursive: true, force: true });
         }
--- a/soak/operator.ts
+++ b/soak/operator.ts
@@ -4,14 +4,14 @@
 import type * as clock from "../src/clock/index";
 import type * as random from "../src/random/index";
 import type * as sites from "./site";
-import type * as verdict from "./verdict";
+import type * as verdict from "./violations";
 
 export interface Operator {
     readonly queues: readonly catalogs.Queue[];
     readonly key: string;
-    readonly breaches: readonly string[];
+    readonly violations: readonly string[];
     /** Writes configurations and asks every instance for them until the signal. */
-    run(signal: AbortSignal, calm: verdict.Calm): Promise<void>;
+    run(signal: AbortSignal, calm: verdict.FaultFreeTimes): Promise<void>;
 }
 
 const CHANGE_EVERY_MS = 3_000;
@@ -54,18 +54,18 @@
     /** Whether the instance serves the queue that only this version has; `undefined` where it does not say. */
     const serves = async (instance: number, asked: number) => {
         const reply = await client.countWaiting(
-            site.instances[instance]!.callers,
+            site.instances[instance]!.callerAddress,
             createQueue(getMark(asked), 2),
             key,
         );
         return reply.kind === "unknownQueue" ? false : reply.kind === "waiting" ? true : undefined;
     };
-    const watch = async (instance: number, signal: AbortSignal, calm: verdict.Calm) => {
+    const watch = async (instance: number, signal: AbortSignal, calm: verdict.FaultFreeTimes) => {
         let newest = 0;
         let life = 0;
         while (!signal.aborted) {
             await time.sleep(ASK_EVERY_MS, signal);
-            const { getLife, name } = site.instances[instance]!;
+            const { getIncarnation: getLife, name } = site.instances[instance]!;
             if (getLife() !== life) {
                 life = getLife();
                 newest = 0;
@@ -87,7 +87,7 @@
             if (asked === newest) {
                 breaches.push(`${name} went back from configuration ${asked}`);
             }
-            else if (sentAt > due && calm.isCalm(due - APPLY_MS, time.now())) {
+            else if (sentAt > due && calm.isFaultFree(due - APPLY_MS, time.now())) {
                 breaches.push(`${name} did not follow configuration ${asked} in time`);
             }
         }
@@ -95,7 +95,7 @@
     return {
         queues,
         key,
-        breaches,
+        violations: breaches,
         run: async (signal, calm) => {
             site.instances.forEach((_, number) => void watch(number, signal, calm));
             while (!signal.aborted) {
--- a/soak/run.ts
+++ b/soak/run.ts
@@ -3,32 +3,32 @@
 import * as clocks from "../src/clock/index";
 import type * as emulator from "../src/emulator/index";
 import * as random from "../src/random/index";
-import * as balancers from "./balancer";
 import * as callersOfSite from "./callers";
+import * as troubles from "./faultInjection";
+import * as balancers from "./loadBalancer";
 import * as operators from "./operator";
 import * as sites from "./site";
-import * as troubles from "./troubles";
-import * as verdict from "./verdict";
+import * as verdict from "./violations";
 
 export interface RunOptions {
     readonly seed: number;
     readonly instances: number;
     readonly workers: number;
     /** How long troubles come. */
-    readonly troubleMs: number;
-    readonly troubles: number;
+    readonly faultPhaseMs: number;
+    readonly faultCount: number;
     readonly jobsPerSecond: number;
     readonly addressBlock: number;
     /** Queues of the configuration beside those that callers use. */
     readonly otherQueues: number;
     /** What each connection to the store carries, but the first instance's; absent: no limit. */
     readonly storeBytesPerSecond?: number;
-    say(line: string): void;
+    onProgress(line: string): void;
 }
 
 export interface RunReport {
     readonly seed: number;
-    readonly breaches: readonly string[];
+    readonly violations: readonly string[];
     readonly jobs: number;
     readonly accepted: number;
     readonly starts: number;
@@ -47,7 +47,7 @@
 const FINISH_WITHIN_MS = 60_000;
 const POLL_MS = 100;
 
-export async function run(options: RunOptions): Promise<RunReport> {
+export async function runSoak(options: RunOptions): Promise<RunReport> {
     const parts = await openParts(options);
     const { site, callers, balancer } = parts;
     const over = createController();
@@ -58,7 +58,7 @@
     await site.close();
     return {
         seed: options.seed,
-        breaches,
+        violations: breaches,
         jobs: callers.records.length,
         accepted: callers.records.filter(record => record.acceptedAt !== undefined).length,
         starts: site.workers.starts.length,
@@ -68,11 +68,11 @@
 
 interface Parts {
     readonly time: clocks.Clock;
-    readonly plan: readonly troubles.TimedTrouble[];
-    readonly board: troubles.FaultBoard;
+    readonly plan: readonly troubles.ScheduledFault[];
+    readonly board: troubles.FaultInjector;
     readonly site: sites.Site;
     readonly operator: operators.Operator;
-    readonly balancer: balancers.Balancer;
+    readonly balancer: balancers.LoadBalancer;
     readonly callers: callersOfSite.Callers;
 }
 
@@ -83,20 +83,20 @@
     const troubleOptions = {
         instances: options.instances,
         workers: options.workers,
-        lastMs: options.troubleMs,
-        count: options.troubles,
+        lastMs: options.faultPhaseMs,
+        count: options.faultCount,
     };
     const plan = [
-        ...troubles.createTroubles(random.createRandom(options.seed), troubleOptions),
-        ...troubles.createShrinks(createSource(6), troubleOptions),
+        ...troubles.createFaultSchedule(random.createRandom(options.seed), troubleOptions),
+        ...troubles.createCapacityReductions(createSource(6), troubleOptions),
     ];
-    const board = troubles.createFaultBoard(createSource(1));
+    const board = troubles.createFaultInjector(createSource(1));
     const jobs = new Map<string, emulator.EmulatedJob>();
     const idSource = createSource(0);
     const comesBackUnderId = () => idSource.nextInt(2) === 0;
-    const site = await sites.createSite({ ...options, ...board, jobs, comesBackUnderId });
+    const site = await sites.createSite({ ...options, ...board, jobs, restartsUnderSameId: comesBackUnderId });
     const operator = operators.createOperator(site, time, createSource(2), options.otherQueues);
-    const balancer = balancers.createBalancer(site, time, createSource(3));
+    const balancer = balancers.createLoadBalancer(site, time, createSource(3));
     const callers = callersOfSite.createCallers({
         clock: time,
         source: createSource(4),
@@ -135,7 +135,7 @@
     const callersStop = createController();
     void operator.run(signal, calm);
     void callers.run(options.jobsPerSecond, callersStop.signal);
-    await playTroubles(parts, options.say);
+    await playTroubles(parts, options.onProgress);
     await time.sleep(AFTERMATH_MS);
     const drains = drainOne(site, time);
     await time.sleep(CALM_MS);
@@ -143,9 +143,9 @@
     await waitFor("the end of the last jobs", FINISH_WITHIN_MS, callers.isDone);
     return [
         ...slow,
-        ...callers.breaches,
-        ...operator.breaches,
-        ...verdict.findBreaches({ jobs: callers.records, workers: site.workers, drains, calm }),
+        ...callers.violations,
+        ...operator.violations,
+        ...verdict.findViolations({ jobs: callers.records, workers: site.workers, drains, faultFreeTimes: calm }),
     ];
 }
 
@@ -161,7 +161,7 @@
     const running = plan.map(async ({ at, forMs, trouble }) => {
         await time.sleep(at);
         say(`${Math.round(time.now() - startedAt)} ms: ${JSON.stringify(trouble)} for ${forMs} ms`);
-        const end = troubles.begin(trouble, site, board);
+        const end = troubles.injectFault(trouble, site, board);
         await time.sleep(forMs);
         end();
     });
@@ -184,16 +184,16 @@
 
 /** A worker that drains in calm shows whether anything is started there later. */
 function drainOne(site: sites.Site, time: clocks.Clock): Array<{ lifeId: string; at: number; }> {
-    const place = site.places.at(-1)!;
-    const lifeId = place.getLifeId();
+    const place = site.workerHosts.at(-1)!;
+    const lifeId = place.getIncarnationId();
     place.drain(CALM_MS);
     return lifeId === undefined ? [] : [{ lifeId, at: time.now() }];
 }
 
-function createCalm(plan: readonly troubles.TimedTrouble[], startedAt: number): verdict.Calm {
+function createCalm(plan: readonly troubles.ScheduledFault[], startedAt: number): verdict.FaultFreeTimes {
     const spans = plan.map(({ at, forMs }) => ({
         from: startedAt + at,
         to: startedAt + at + forMs + AFTERMATH_MS,
     }));
-    return { isCalm: (from, to) => spans.every(span => span.to <= from || span.from > to) };
+    return { isFaultFree: (from, to) => spans.every(span => span.to <= from || span.from > to) };
 }
--- a/soak/site.ts
+++ b/soak/site.ts
@@ -25,33 +25,33 @@
     readonly workerFaults: emulator.WorkerFaults;
     readonly jobs: ReadonlyMap<string, emulator.EmulatedJob>;
     /** Whether a worker that was lost starts again under its id. */
-    comesBackUnderId(): boolean;
+    restartsUnderSameId(): boolean;
 }
 
 /** One address at which workers live, one after another. */
-export interface WorkerPlace {
+export interface WorkerHost {
     readonly link: links.Link;
     /** The worker that lives there now. */
-    getId(): string | undefined;
+    getWorkerId(): string | undefined;
     /** Of the life that goes on there now. */
-    getLifeId(): string | undefined;
+    getIncarnationId(): string | undefined;
     drain(remainingMs: number): void;
     /** Changes the capacity of the life there to that share of what its place has; the directory learns of it later. */
     resize(share: number): void;
     /** Ends the life there; `tell` says whether the directory learns of it at once. */
-    kill(tell: boolean): void;
+    killWorker(tell: boolean): void;
     /** Begins a new life, if none is going on. */
-    revive(): void;
+    startWorker(): void;
 }
 
 export interface Site {
     readonly folder: string;
     readonly instances: readonly instances.Instance[];
     readonly storeLinks: readonly links.Link[];
-    readonly entryLinks: readonly links.Link[];
+    readonly callerLinks: readonly links.Link[];
     /** `IP:PORT` at which callers reach each instance. */
-    readonly entries: readonly string[];
-    readonly places: readonly WorkerPlace[];
+    readonly callerAddresses: readonly string[];
+    readonly workerHosts: readonly WorkerHost[];
     readonly store: emulator.EmulatedStore;
     readonly workers: emulator.EmulatedWorkers;
     /** Number of the instance that holds the lead, if one does. */
@@ -105,7 +105,7 @@
         closers.push(server.close);
     };
 
-    const openPlace = async (number: number): Promise<WorkerPlace> => {
+    const openPlace = async (number: number): Promise<WorkerHost> => {
         const server = `${getAddress(Block.WorkerServer, number)}:${WORKER_PORT}`;
         const address = `${getAddress(Block.WorkerLink, number)}:${WORKER_PORT}`;
         let lives = 0;
@@ -118,10 +118,11 @@
             server,
         );
         const link = await openLink(address, server);
-        const place: WorkerPlace = {
+        const place: WorkerHost = {
             link,
-            getId: () => info?.id,
-            getLifeId: () => info && leader.getIncarnationId({ name: info.id, startedAt: workers.getBornAt(info.id) }),
+            getWorkerId: () => info?.id,
+            getIncarnationId: () =>
+                info && leader.getIncarnationId({ name: info.id, startedAt: workers.getBornAt(info.id) }),
             drain: remainingMs => {
                 if (info && !info.draining) {
                     workers.drain(info.id, remainingMs);
@@ -129,7 +130,7 @@
                     tellDirectory(info);
                 }
             },
-            kill: tell => {
+            killWorker: tell => {
                 if (!info) {
                     return;
                 }
@@ -148,11 +149,11 @@
                     workers.resize(info.id, scale(CAPACITY, share));
                 }
             },
-            revive: () => {
+            startWorker: () => {
                 if (info) {
                     return;
                 }
-                if (lastId !== undefined && options.comesBackUnderId()) {
+                if (lastId !== undefined && options.restartsUnderSameId()) {
                     workers.restart(lastId);
                     info = workers.getInfo(lastId);
                 }
@@ -165,7 +166,7 @@
                 tellDirectory(info);
             },
         };
-        place.revive();
+        place.startWorker();
         const report = () => {
             if (info) {
                 info = workers.getInfo(info.id);
@@ -178,11 +179,11 @@
     };
     /** A task has taken the worker down; another life begins there some seconds later. */
     const crash = (id: string) => {
-        const place = places.find(candidate => candidate.getId() === id);
-        place?.kill(false);
-        time.setTimer(RESTART_MS, () => place?.revive());
+        const place = places.find(candidate => candidate.getWorkerId() === id);
+        place?.killWorker(false);
+        time.setTimer(RESTART_MS, () => place?.startWorker());
     };
-    const places: readonly WorkerPlace[] = await Promise.all(range(options.workers).map(openPlace));
+    const places: readonly WorkerHost[] = await Promise.all(range(options.workers).map(openPlace));
 
     const openInstance = async (number: number) => {
         const name = `instance-${number}`;
@@ -203,7 +204,7 @@
             folder,
             maxLeaseMs: MAX_LEASE_MS,
         });
-        return { instance, storeLink, entry, entryLink: await openLink(entry, instance.callers) };
+        return { instance, storeLink, entry, entryLink: await openLink(entry, instance.callerAddress) };
     };
     const opened = await Promise.all(range(options.instances).map(openInstance));
 
@@ -211,15 +212,15 @@
         folder,
         instances: opened.map(item => item.instance),
         storeLinks: opened.map(item => item.storeLink),
-        entryLinks: opened.map(item => item.entryLink),
-        entries: opened.map(item => item.entry),
-        places,
+        callerLinks: opened.map(item => item.entryLink),
+        callerAddresses: opened.map(item => item.entry),
+        workerHosts: places,
         store,
         workers,
         getLeader: () => findLeader(store, opened.map(item => item.instance.name)),
         configure: config => store.put(standin.encodeConfigurationRow(config)),
         close: async () => {
-            await Promise.all(opened.map(item => item.instance.end()));
+            await Promise.all(opened.map(item => item.instance.killAndWait()));
             closers.forEach(close => close());
         },
     };
--- a/soak/verdict.ts
+++ b/soak/violations.ts
@@ -19,16 +19,16 @@
     state: string | undefined;
 }
 
-export interface Calm {
+export interface FaultFreeTimes {
     /** Whether no trouble was in force, or had been shortly before, in that span. */
-    isCalm(from: number, to: number): boolean;
+    isFaultFree(from: number, to: number): boolean;
 }
 
-export interface VerdictInput {
+export interface RunObservations {
     readonly jobs: readonly JobRecord[];
     readonly workers: emulator.EmulatedWorkers;
     readonly drains: ReadonlyArray<{ readonly lifeId: string; readonly at: number; }>;
-    readonly calm: Calm;
+    readonly faultFreeTimes: FaultFreeTimes;
 }
 
 /** After the acknowledgement of a cancellation no task of the job starts. */
@@ -39,7 +39,7 @@
 const SLACK_MS = 500;
 
 /** Breaches in words; empty when every promise was kept. */
-export function findBreaches(input: VerdictInput): string[] {
+export function findViolations(input: RunObservations): string[] {
     return [
         ...input.workers.breaches,
         ...input.jobs.flatMap(record => checkJob(record, input.workers)),
@@ -47,7 +47,9 @@
         ...checkShrunk(input),
         ...checkDrained(input),
         ...input.workers.aloneEnds
-            .filter(end => input.calm.isCalm(end.at - GANG_MS, end.at) && !isNearLoss(end.at, input.workers))
+            .filter(end =>
+                input.faultFreeTimes.isFaultFree(end.at - GANG_MS, end.at) && !isNearLoss(end.at, input.workers)
+            )
             .map(end => `${end.task} run ${end.run} waited in vain for the rest of its gang`),
     ];
 }
@@ -61,7 +63,7 @@
 const GANG_MS = 5_000;
 
 /** A state that contradicts what has ended; to be asked at the moment at which the state is shown. */
-export function checkShownState(record: JobRecord, state: string, workers: emulator.EmulatedWorkers): string[] {
+export function checkReportedState(record: JobRecord, state: string, workers: emulator.EmulatedWorkers): string[] {
     if (state !== "completed") {
         return [];
     }
@@ -89,7 +91,7 @@
         : [`job ${job.jobId} is ${record.state ?? "not shown"}, not ${expected.join(" or ")}`];
 }
 
-function checkCancelled({ jobs, workers, calm }: VerdictInput): string[] {
+function checkCancelled({ jobs, workers, faultFreeTimes: calm }: RunObservations): string[] {
     return jobs.flatMap(record => {
         const { cancelledAt } = record;
         if (cancelledAt === undefined) {
@@ -97,7 +99,7 @@
         }
         return workers.starts
             .filter(start => start.task.startsWith(`${record.job.jobId}.`))
-            .filter(start => start.at > cancelledAt + CANCEL_MS + SLACK_MS && calm.isCalm(cancelledAt, start.at))
+            .filter(start => start.at > cancelledAt + CANCEL_MS + SLACK_MS && calm.isFaultFree(cancelledAt, start.at))
             .map(start =>
                 `${start.task} run ${start.run} started ${Math.round(start.at - cancelledAt)} ms after the cancellation`
             );
@@ -105,20 +107,20 @@
 }
 
 /** A start that a link has held up goes by what its worker had said before. */
-function checkShrunk({ workers, calm }: VerdictInput): string[] {
+function checkShrunk({ workers, faultFreeTimes: calm }: RunObservations): string[] {
     return workers.shrunkStarts
-        .filter(start => calm.isCalm(start.at - SHRINK_MS, start.at))
+        .filter(start => calm.isFaultFree(start.at - SHRINK_MS, start.at))
         .map(start => `${start.task} started on ${start.workerId} over a capacity that had shrunk`);
 }
 
 /** From a report that a link has held up until nothing counts on it any more. */
 const SHRINK_MS = 10_000;
 
-function checkDrained({ drains, workers, calm }: VerdictInput): string[] {
+function checkDrained({ drains, workers, faultFreeTimes: calm }: RunObservations): string[] {
     return drains.flatMap(drain =>
         workers.starts
             .filter(start => start.incarnationId === drain.lifeId)
-            .filter(start => start.at > drain.at + DRAIN_MS + SLACK_MS && calm.isCalm(drain.at, start.at))
+            .filter(start => start.at > drain.at + DRAIN_MS + SLACK_MS && calm.isFaultFree(drain.at, start.at))
             .map(start =>
                 `${start.task} started on ${drain.lifeId} ${Math.round(start.at - drain.at)} ms after it began to drain`
             )
--- a/standins/cli/standinCommands.ts
+++ b/standins/cli/standinCommands.ts
@@ -105,7 +105,7 @@
             incarnation: INCARNATION,
             journal,
             checkpointMs: cfg.checkpointMs,
-            failsTasks: () => faults.get().failTasks,
+            shouldFailTasks: () => faults.get().failTasks,
         });
         const { host, port } = splitAddress(item.listen);
         await worker.startWorkerServer(host, port, {
@@ -146,9 +146,9 @@
             options,
         );
         process.stdout.write(
-            site.isClean(summary) ? "every promise was kept\n" : "A PROMISE WAS BROKEN: see the counts above\n",
+            site.hasNoViolations(summary) ? "every promise was kept\n" : "A PROMISE WAS BROKEN: see the counts above\n",
         );
     }
     // Sockets of callers that keep their connections open would hold the process.
-    process.exit(site.isClean(summary) ? 0 : 1);
+    process.exit(site.hasNoViolations(summary) ? 0 : 1);
 }
--- a/standins/httpServer.ts
+++ b/standins/httpServer.ts
@@ -2,14 +2,14 @@
 import * as http from "node:http";
 import type * as net from "node:net";
 
-export interface JsonAnswer {
+export interface StandinResponse {
     readonly status: number;
     /** Sent as JSON unless it is bytes. `undefined` cuts the connection without an answer. */
     readonly body: unknown;
     readonly headers?: Readonly<Record<string, string>>;
 }
 
-export type Handler = (method: string, path: string, body: Buffer) => Promise<JsonAnswer | undefined>;
+export type StandinHandler = (method: string, path: string, body: Buffer) => Promise<StandinResponse | undefined>;
 
 export interface StandinServer {
     readonly port: number;
@@ -17,7 +17,7 @@
 }
 
 /** Listens on `host:port`; port 0 takes a free one. A handler that resolves to `undefined` cuts the connection. */
-export async function startServer(host: string, port: number, handler: Handler): Promise<StandinServer> {
+export async function startServer(host: string, port: number, handler: StandinHandler): Promise<StandinServer> {
     const server = http.createServer((req, res) => {
         const chunks: Buffer[] = [];
         req.on("data", (chunk: Buffer) => chunks.push(chunk));
@@ -44,7 +44,7 @@
     };
 }
 
-function sendAnswer(req: http.IncomingMessage, res: http.ServerResponse, answer: JsonAnswer | undefined): void {
+function sendAnswer(req: http.IncomingMessage, res: http.ServerResponse, answer: StandinResponse | undefined): void {
     if (!answer) {
         req.socket.destroy();
         return;
--- a/standins/platform/server.ts
+++ b/standins/platform/server.ts
@@ -22,16 +22,16 @@
     port: number,
     embedded: embeddedPlatform.EmbeddedPlatform,
 ): Promise<httpServer.StandinServer> {
-    const respond = (body: unknown): httpServer.JsonAnswer => ({ status: 200, body });
+    const respond = (body: unknown): httpServer.StandinResponse => ({ status: 200, body });
 
-    const transact = async (body: string): Promise<httpServer.JsonAnswer | undefined> => {
+    const transact = async (body: string): Promise<httpServer.StandinResponse | undefined> => {
         const writes = transactSchema.parse(JSON.parse(body)).writes;
         const result = await embedded.table.transact(writes.map(write => ({ ...write, value: write.value })));
         const answered = result.kind === "committed" || result.kind === "conflict";
         return answered ? respond(result) : undefined;
     };
 
-    const handlers: Record<string, (body: string) => Promise<httpServer.JsonAnswer | undefined>> = {
+    const handlers: Record<string, (body: string) => Promise<httpServer.StandinResponse | undefined>> = {
         "POST /table/get": async body => {
             const rows = await embedded.table.get(getSchema.parse(JSON.parse(body)).keys);
             // JSON has no undefined: an absent row is sent as null, which `?? null` cannot avoid here.
@@ -82,7 +82,7 @@
     method: string,
     key: string,
     body: Buffer,
-): Promise<httpServer.JsonAnswer | undefined> {
+): Promise<httpServer.StandinResponse | undefined> {
     if (method === "PUT") {
         return await embedded.objects.put(key, new Uint8Array(body)) ? { status: 200, body: {} } : undefined;
     }
--- a/standins/site/demo.ts
+++ b/standins/site/demo.ts
@@ -7,7 +7,7 @@
 import * as settings from "../../src/settings/index";
 import * as demoLoad from "./demoLoad";
 import * as embeddedSite from "./embeddedSite";
-import * as verdict from "./verdict";
+import * as verdict from "./violations";
 
 export interface DemoOptions {
     readonly deployment: demoLoad.DeploymentName;
@@ -17,7 +17,7 @@
     readonly onProgress: (line: string) => void;
 }
 
-export interface DemoSummary extends load.LoadSummary, verdict.Verdict {
+export interface DemoSummary extends load.LoadSummary, verdict.ViolationCounts {
     readonly deployment: string;
     readonly workers: number;
     readonly instances: number;
@@ -70,7 +70,7 @@
         workers: embedded.workers.length,
         instances: embedded.instances.length,
         ...log.summarize(),
-        ...verdict.judge(log.getRecords(), embedded.journal.getEntries(), time.now()),
+        ...verdict.countViolations(log.getRecords(), embedded.journal.getEntries(), time.now()),
         fragmentation,
         utilisation,
         tableRowsWritten: embedded.platform.store.getRowsWritten(),
@@ -91,7 +91,7 @@
     let utilisation = 0;
     let count = 0;
     while (!signal.aborted) {
-        const free = embedded.workers.map(worker => worker.core.getFree().accelerators);
+        const free = embedded.workers.map(worker => worker.core.getFreeResources().accelerators);
         const total = free.reduce((sum, value) => sum + value, 0);
         const whole = free.filter(value => value === capacity).length * capacity;
         fragmentation += placement.getFragmentation(total, whole);
@@ -119,6 +119,6 @@
 }
 
 /** Whether the run kept every promise. */
-export function isClean(summary: DemoSummary): boolean {
+export function hasNoViolations(summary: DemoSummary): boolean {
     return summary.lost + summary.duplicated + summary.crossed + summary.partialGangs + summary.falseNotRun === 0;
 }
--- a/standins/site/embeddedSite.ts
+++ b/standins/site/embeddedSite.ts
@@ -34,7 +34,7 @@
     addInstance(zone: string): Promise<EmbeddedInstance>;
     removeInstance(item: EmbeddedInstance, how: "stop" | "kill"): Promise<void>;
     /** Cuts a zone off from the other zones, or joins it again. */
-    setCut(zone: string, cut: boolean): void;
+    setPartitioned(zone: string, cut: boolean): void;
     /** Resolves once every rack has an owner with all its workers. */
     waitUntilReady(timeoutMs: number): Promise<boolean>;
     stop(): Promise<void>;
@@ -81,7 +81,7 @@
             incarnation: 1,
             journal,
             checkpointMs: CHECKPOINT_MS,
-            failsTasks: () => faults.get().failTasks,
+            shouldFailTasks: () => faults.get().failTasks,
         });
         const server = await worker.startWorkerServer(HOST, 0, { clock: time, rng, core, faults });
         servers.push(server);
@@ -155,7 +155,7 @@
             instances.splice(instances.indexOf(item), 1);
             await item.instance[how]();
         },
-        setCut: (zone, cut) => {
+        setPartitioned: (zone, cut) => {
             if (cut) {
                 cutZones.add(zone);
             }
--- a/standins/site/index.ts
+++ b/standins/site/index.ts
@@ -1,6 +1,6 @@
 /** A whole embedded site, its load, and the counting of what really happened. */
-export { type DemoOptions, type DemoSummary, getSiteFile, isClean, runDemo } from "./demo";
+export { type DemoOptions, type DemoSummary, getSiteFile, hasNoViolations, runDemo } from "./demo";
 export { type DeploymentName, getDemoStreams } from "./demoLoad";
 export * from "./embeddedSite";
 export * from "./smallSite";
-export { judge, type Verdict } from "./verdict";
+export { countViolations, type ViolationCounts } from "./violations";
--- a/standins/site/verdict.ts
+++ b/standins/site/violations.ts
@@ -3,7 +3,7 @@
 import * as workers from "../../src/workers/index";
 import * as worker from "../worker/index";
 
-export interface Verdict {
+export interface ViolationCounts {
     /** Accepted requests that have no outcome, or whose outcome is "done" though no worker finished them. */
     readonly lost: number;
     /** Requests that may run once and ran more often, and jobs that were completed more than once. */
@@ -28,11 +28,11 @@
 /** Starting a gang, and stopping one whose start failed, each take a round trip to every member. */
 const GANG_GRACE_MS = 1000;
 
-export function judge(
+export function countViolations(
     records: readonly load.CallerRecord[],
     journal: readonly worker.JournalEntry[],
     now: number,
-): Verdict {
+): ViolationCounts {
     const runs = countRuns(journal);
     let lost = 0;
     let duplicated = 0;
--- a/standins/worker/__tests__/contract.test.ts
+++ b/standins/worker/__tests__/contract.test.ts
@@ -54,7 +54,7 @@
         incarnation: 1,
         journal,
         checkpointMs: 5,
-        failsTasks: () => faults.get().failTasks,
+        shouldFailTasks: () => faults.get().failTasks,
     });
 }
 
--- a/standins/worker/server.ts
+++ b/standins/worker/server.ts
@@ -79,7 +79,7 @@
     const getFaults = options.faults.get;
     let previousTaskId = "";
 
-    const sendRun = (answered: workers.WorkerResult<workers.RunOutcome>): httpServer.JsonAnswer | undefined => {
+    const sendRun = (answered: workers.WorkerResult<workers.RunOutcome>): httpServer.StandinResponse | undefined => {
         if (answered.kind === "fault") {
             return { status: STATUS_FAULT, body: answered.fault };
         }
@@ -89,7 +89,7 @@
         return sendAnswer(answered.value.answer);
     };
 
-    const sendAnswer = (answer: workers.TaskAnswer): httpServer.JsonAnswer => {
+    const sendAnswer = (answer: workers.TaskAnswer): httpServer.StandinResponse => {
         const truncated = rng.nextFloat() < getFaults().truncateAnswers;
         const crossed = rng.nextFloat() < getFaults().crossAnswers && previousTaskId !== "";
         const headers = { "x-task-id": crossed ? previousTaskId : answer.taskId, "x-digest": answer.digest };
@@ -101,10 +101,10 @@
         };
     };
 
-    const send = <T>(answered: workers.WorkerResult<T>): httpServer.JsonAnswer =>
+    const send = <T>(answered: workers.WorkerResult<T>): httpServer.StandinResponse =>
         answered.kind === "ok" ? { status: 200, body: answered.value } : { status: STATUS_FAULT, body: answered.fault };
 
-    const execute = async (path: string, text: string): Promise<httpServer.JsonAnswer | undefined> => {
+    const execute = async (path: string, text: string): Promise<httpServer.StandinResponse | undefined> => {
         const body: unknown = JSON.parse(text);
         switch (path) {
             case "/lease": {
--- a/standins/worker/workerCore.ts
+++ b/standins/worker/workerCore.ts
@@ -14,13 +14,13 @@
     /** How long it takes to save a task's progress. */
     readonly checkpointMs: number;
     /** Whether a task that starts now fails at once. */
-    readonly failsTasks: () => boolean;
+    readonly shouldFailTasks: () => boolean;
 }
 
 /** The part of the port that needs no connection; `close` empties the worker as a crash would. */
 export interface WorkerCore extends Omit<workers.Worker, "close"> {
     crash(): void;
-    getFree(): workers.TaskNeeds;
+    getFreeResources(): workers.TaskNeeds;
 }
 
 interface Task {
@@ -133,7 +133,7 @@
             ended: undefined,
         };
         options.journal.add(task.entry);
-        if (task.payload.fails || options.failsTasks()) {
+        if (task.payload.fails || options.shouldFailTasks()) {
             end(task, "failed", task.payload.fails ? "the work failed" : "the worker is faulty");
             return;
         }
@@ -363,7 +363,7 @@
             tasks.clear();
             listed.clear();
         },
-        getFree: () => combine(options.capacity, used, -1),
+        getFreeResources: () => combine(options.capacity, used, -1),
     };
 }
 
--- a/verdict/__tests__/verdict.test.ts
+++ b/verdict/__tests__/verdict.test.ts
@@ -87,7 +87,7 @@
         },
     ];
     test.each(cases)("$name", ({ outcomes, listed, problems, known }) => {
-        const judgement = verdict.judge(outcomes, listed);
+        const judgement = verdict.evaluateResults(outcomes, listed);
         expect(judgement.problems).toEqual(problems);
         expect(judgement.known).toHaveLength(known);
     });
--- a/verdict/judge.ts
+++ b/verdict/evaluateResults.ts
@@ -8,7 +8,7 @@
 import type * as checkResult from "./checkResult";
 import type * as knownFailures from "./knownFailures";
 
-export interface Judgement {
+export interface Evaluation {
     /** What keeps the run from landing; empty: it may. */
     readonly problems: readonly string[];
     /** The known failures that were seen again. */
@@ -16,10 +16,10 @@
     readonly passed: number;
 }
 
-export function judge(
+export function evaluateResults(
     results: readonly checkResult.CheckResult[],
     listed: readonly knownFailures.KnownFailure[],
-): Judgement {
+): Evaluation {
     const isListed = (result: checkResult.CheckResult) => listed.some(entry => entry.test === result.name);
     const unlisted = results.filter(result => !isListed(result));
     const known: knownFailures.KnownFailure[] = [];
--- a/verdict/main.ts
+++ b/verdict/main.ts
@@ -29,7 +29,7 @@
         ...verdict.readJestReport(fs.readFileSync(options.jest, "utf8"), process.cwd()),
         ...options.check.map(parseCheck),
     ];
-    const { problems, known, passed } = verdict.judge(results, parsed.failures);
+    const { problems, known, passed } = verdict.evaluateResults(results, parsed.failures);
     known.forEach(entry =>
         print(`KNOWN RED (issue ${entry.issue}): ${entry.test}\n    ${entry.command}\n    ${entry.seen}`)
     );
