--- a/src/cli/experimentCommand.ts
+++ b/src/cli/experimentCommand.ts
@@ -3,8 +3,8 @@
 import * as decisions from "../decisions/index";
 import * as experiment from "../experiment/index";
 import * as result from "../result/index";
-import * as drawnExperiment from "./drawnExperiment";
 import * as output from "./output";
+import * as drawnExperiment from "./randomExperiment";
 
 interface ExperimentOptions {
     readonly policy: decisions.PolicyName[];
@@ -55,7 +55,11 @@
                 await run(names.length > 0 ? names : ["small"], options);
                 return;
             }
-            await drawnExperiment.runDrawn({ ...options, drawn: options.drawn, without: expandAll(options.without) });
+            await drawnExperiment.runRandomExperiment({
+                ...options,
+                drawn: options.drawn,
+                without: expandAll(options.without),
+            });
         });
 }
 
@@ -101,7 +105,7 @@
     seed: number,
     quiet: boolean,
 ): Promise<RunResult> {
-    const played = await experiment.play({ load, seed, policy: decisions.POLICIES[policy] });
+    const played = await experiment.simulate({ load, seed, policy: decisions.POLICIES[policy] });
     const summary = experiment.summarise(played);
     const upperBound = experiment.getUpperBound(load, played.jobs.map(job => job.planned));
     if (!quiet) {
--- a/src/cli/jobCommands.ts
+++ b/src/cli/jobCommands.ts
@@ -26,7 +26,7 @@
 }
 
 const DEFAULT_URL = "http://127.0.0.1:7101";
-export const KEY_VARIABLE = "PLANTAINCHUTE_KEY";
+export const KEY_ENV_VARIABLE = "PLANTAINCHUTE_KEY";
 
 /** `job submit|status|cancel|result`. */
 export function register(program: commander.Command): void {
@@ -39,18 +39,22 @@
             ),
         )
         .option("--id <requestId>", "idempotency key")
-        .option("--accelerators <n>", "accelerators", parseCount)
+        .option("--accelerators <n>", "accelerators", parseNonNegativeNumber)
         .addOption(
             new commander.Option("--adjacency <kind>", "how close the accelerators must be")
                 .choices(["any", "worker", "rack", "adjacentRacks"])
                 .default("any"),
         )
-        .option("--declared-ms <ms>", "expected run time", parseCount)
-        .option("--deadline-ms <ms>", "time until the start (interactive: the answer) is useless", parseCount)
+        .option("--declared-ms <ms>", "expected run time", parseNonNegativeNumber)
+        .option(
+            "--deadline-ms <ms>",
+            "time until the start (interactive: the answer) is useless",
+            parseNonNegativeNumber,
+        )
         .option("--once", "may run at most once")
         .option("--payload <text>", "what the worker gets")
         .option("--payload-file <file>", "read the payload from a file")
-        .option("--wait <ms>", "wait for the end", parseCount)
+        .option("--wait <ms>", "wait for the end", parseNonNegativeNumber)
         .action(async (options: SubmitOptions) => {
             const answer = await createClient(options).call(
                 "POST",
@@ -62,7 +66,7 @@
     withCaller(job.command("status"))
         .description("show a job")
         .argument("<requestId>")
-        .option("--wait <ms>", "wait for the end", parseCount)
+        .option("--wait <ms>", "wait for the end", parseNonNegativeNumber)
         .action(async (requestId: string, options: WaitOptions) => {
             printAnswer(await createClient(options).call("GET", withWait(getPath(requestId), options.wait)), options);
         });
@@ -83,12 +87,12 @@
 function withCaller(command: commander.Command): commander.Command {
     return command
         .option("--url <origin>", "callers' address of an entry", DEFAULT_URL)
-        .option("--key <key>", `the client account's key (default: the variable ${KEY_VARIABLE})`)
+        .option("--key <key>", `the client account's key (default: the variable ${KEY_ENV_VARIABLE})`)
         .option("--json", "one JSON document");
 }
 
 function createClient(options: CallerOptions): siteClient.SiteClient {
-    return siteClient.createSiteClient(options.url, options.key ?? process.env[KEY_VARIABLE] ?? "");
+    return siteClient.createSiteClient(options.url, options.key ?? process.env[KEY_ENV_VARIABLE] ?? "");
 }
 
 function createBody(options: SubmitOptions): Record<string, unknown> {
@@ -123,7 +127,7 @@
     return waitMs === undefined ? path : `${path}?waitMs=${waitMs}`;
 }
 
-export function parseCount(text: string): number {
+export function parseNonNegativeNumber(text: string): number {
     const value = Number(text);
     if (!Number.isFinite(value) || value < 0) {
         throw new commander.InvalidArgumentError("expected a number that is not negative");
--- a/src/cli/loadCommand.ts
+++ b/src/cli/loadCommand.ts
@@ -32,29 +32,34 @@
         .command("load")
         .description("send a stream of requests to a running site; start several for a mix")
         .option("--urls <origins>", "callers' addresses of the entries, comma-separated", "http://127.0.0.1:7101")
-        .option("--key <key>", `the client account's key (default: the variable ${jobCommands.KEY_VARIABLE})`)
+        .option("--key <key>", `the client account's key (default: the variable ${jobCommands.KEY_ENV_VARIABLE})`)
         .option("--account <name>", "name shown in the summary", "account")
         .addOption(
             new commander.Option("--class <class>", "class").choices(["interactive", "urgent", "batch"]).default(
                 "interactive",
             ),
         )
-        .option("--rate <n>", "requests a second", jobCommands.parseCount, 10)
-        .option("--burst <n>", "requests that arrive together", jobCommands.parseCount, 1)
+        .option("--rate <n>", "requests a second", jobCommands.parseNonNegativeNumber, 10)
+        .option("--burst <n>", "requests that arrive together", jobCommands.parseNonNegativeNumber, 1)
         .option("--accelerators <list>", "sizes to choose from; more than a worker has makes gangs", "1")
         .addOption(
             new commander.Option("--adjacency <kind>", "adjacency").choices(["any", "worker", "rack", "adjacentRacks"])
                 .default("any"),
         )
-        .option("--run-ms <ms>", "mean run time of the work", jobCommands.parseCount, 10)
-        .option("--declared-factor <x>", "declared over real run time", jobCommands.parseCount, 1)
-        .option("--deadline-ms <ms>", "deadline", jobCommands.parseCount)
+        .option("--run-ms <ms>", "mean run time of the work", jobCommands.parseNonNegativeNumber, 10)
+        .option("--declared-factor <x>", "declared over real run time", jobCommands.parseNonNegativeNumber, 1)
+        .option("--deadline-ms <ms>", "deadline", jobCommands.parseNonNegativeNumber)
         .option("--once", "work that may run at most once")
-        .option("--duplicates <share>", "share submitted twice under one request id", jobCommands.parseCount, 0)
-        .option("--cancellations <share>", "share of jobs that are cancelled", jobCommands.parseCount, 0)
-        .option("--seconds <s>", "how long to send", jobCommands.parseCount, 10)
-        .option("--patience-seconds <s>", "how long to wait for outcomes", jobCommands.parseCount, 60)
-        .option("--seed <n>", "seed of the random numbers", jobCommands.parseCount, 1)
+        .option(
+            "--duplicates <share>",
+            "share submitted twice under one request id",
+            jobCommands.parseNonNegativeNumber,
+            0,
+        )
+        .option("--cancellations <share>", "share of jobs that are cancelled", jobCommands.parseNonNegativeNumber, 0)
+        .option("--seconds <s>", "how long to send", jobCommands.parseNonNegativeNumber, 10)
+        .option("--patience-seconds <s>", "how long to wait for outcomes", jobCommands.parseNonNegativeNumber, 60)
+        .option("--seed <n>", "seed of the random numbers", jobCommands.parseNonNegativeNumber, 1)
         .option("--json", "one JSON document")
         .action(runLoad);
 }
@@ -69,7 +74,7 @@
     const stopped = async.createAbortController();
     const stream: load.LoadStream = {
         account: options.account,
-        key: options.key ?? process.env[jobCommands.KEY_VARIABLE] ?? "",
+        key: options.key ?? process.env[jobCommands.KEY_ENV_VARIABLE] ?? "",
         jobClass: options.class,
         perSecond: options.rate,
         burst: options.burst,
--- a/src/cli/drawnExperiment.ts
+++ b/src/cli/randomExperiment.ts
@@ -4,7 +4,7 @@
 import * as result from "../result/index";
 import * as output from "./output";
 
-export interface DrawnOptions {
+export interface RandomExperimentOptions {
     /** How many deployments. */
     readonly drawn: number;
     readonly size: experiment.Size;
@@ -24,7 +24,7 @@
 const NAME_WIDTH = 16;
 const WIDTH = 11;
 
-export async function runDrawn(options: DrawnOptions): Promise<void> {
+export async function runRandomExperiment(options: RandomExperimentOptions): Promise<void> {
     const variants: experiment.Variant[] = [
         ...options.policy.map(policy => ({ policy, leftOut: [] })),
         ...options.without.map(name => ({ policy: options.policy[0]!, leftOut: [name] })),
@@ -34,7 +34,7 @@
     const tasks = variants.flatMap(variant =>
         seeds.map(seed => ({ seed, size: options.size, variant, hazards: options.hazards }))
     );
-    const results = await experiment.playBatch(tasks, options.threads);
+    const results = await experiment.simulateBatch(tasks, options.threads);
     const byVariant = variants.map((_, number) => results.slice(number * seeds.length, (number + 1) * seeds.length));
     const measured = byVariant.map(list => list.map(item => item.measures));
     if (options.json) {
--- a/src/experiment/__tests__/experiment.test.ts
+++ b/src/experiment/__tests__/experiment.test.ts
@@ -2,13 +2,13 @@
 import * as generate from "../generate";
 import * as experiment from "../index";
 import type * as loads from "../load";
-import type * as outcomes from "../played";
+import type * as outcomes from "../simulationResult";
 
 const SMALL = experiment.LOADS["small"]!;
 const SHORT: loads.Load = { ...SMALL, workers: 8, forMs: 6_000 };
 
 function playShort(changes: Partial<loads.Load> = {}, policy: decisions.Policy = decisions.POLICIES.worth) {
-    return experiment.play({ load: { ...SHORT, ...changes }, seed: 3, policy });
+    return experiment.simulate({ load: { ...SHORT, ...changes }, seed: 3, policy });
 }
 
 describe("a load", () => {
@@ -21,7 +21,7 @@
     const names = Object.keys(experiment.LOADS);
     test.each(names)("%s draws jobs of each class that its site can hold", name => {
         const load = experiment.LOADS[name]!;
-        const jobs = generate.generateJobs({ ...load, forMs: 60_000 }, generate.createSource(name.length));
+        const jobs = generate.generateJobs({ ...load, forMs: 60_000 }, generate.createSeededRandom(name.length));
         expect(new Set(jobs.map(job => job.class.name))).toEqual(new Set(load.classes.map(item => item.name)));
         for (const { job } of jobs) {
             for (const step of job.spec.steps) {
@@ -32,7 +32,7 @@
         }
     });
 
-    const troubles: ReadonlyArray<readonly [string, loads.Trouble]> = [
+    const troubles: ReadonlyArray<readonly [string, loads.Fault]> = [
         ["slow workers", { kind: "slow", atMs: 1_000, forMs: 4_000, share: 0.25, times: 6 }],
         ["hanging workers", { kind: "hang", atMs: 1_000, forMs: 4_000, share: 0.25 }],
         ["workers that are cut off", { kind: "cut", atMs: 1_000, forMs: 4_000, share: 0.25 }],
@@ -70,9 +70,9 @@
 });
 
 describe("what callers got", () => {
-    const [planned] = generate.generateJobs(SHORT, generate.createSource(5));
+    const [planned] = generate.generateJobs(SHORT, generate.createSeededRandom(5));
     const createOutcome = (fields: Partial<outcomes.JobOutcome>): outcomes.JobOutcome => ({
-        planned: { ...planned!, cancelAfterMs: undefined, poisoned: false, crashing: false, objectiveMs: 10_000 },
+        planned: { ...planned!, cancelAfterMs: undefined, poisoned: false, crashesWorkers: false, objectiveMs: 10_000 },
         zone: "zone-0",
         accepted: true,
         firstStartMs: 100,
@@ -91,7 +91,7 @@
     ];
     test.each(cases)("%s", (_name, fields, worth, counted) => {
         const outcome = createOutcome(fields);
-        const played: outcomes.Played = {
+        const played: outcomes.SimulationResult = {
             jobs: [{
                 ...outcome,
                 planned: {
--- a/src/experiment/__tests__/drawn.test.ts
+++ b/src/experiment/__tests__/randomLoad.test.ts
@@ -2,7 +2,7 @@
 import * as generate from "../generate";
 import * as experiment from "../index";
 import * as measures from "../measures";
-import type * as outcomes from "../played";
+import type * as outcomes from "../simulationResult";
 
 const SEEDS = Array.from({ length: 40 }, (_, number) => number + 1);
 
@@ -11,11 +11,15 @@
         "of the size %s is the same for the same seed, and can hold its jobs",
         size => {
             for (const seed of SEEDS) {
-                const load = experiment.drawLoad(seed, size);
-                expect(experiment.drawLoad(seed, size)).toEqual(load);
+                const load = experiment.createRandomLoad(seed, size);
+                expect(experiment.createRandomLoad(seed, size)).toEqual(load);
                 expect(load.instances).toBeGreaterThanOrEqual(load.zones);
                 expect(load.zoneShares).toHaveLength(load.zones);
-                for (const { spec } of generate.generateJobs(load, generate.createSource(seed)).map(item => item.job)) {
+                for (
+                    const { spec } of generate.generateJobs(load, generate.createSeededRandom(seed)).map(item =>
+                        item.job
+                    )
+                ) {
                     for (const { needs, estimateMs, dataRack } of spec.steps) {
                         expect(needs.cpuMillis).toBeLessThanOrEqual(load.capacity.cpuMillis);
                         expect(needs.memoryMb).toBeLessThanOrEqual(load.capacity.memoryMb);
@@ -30,7 +34,7 @@
     );
 
     test("differs from seed to seed in all that matters", () => {
-        const loads = SEEDS.map(seed => experiment.drawLoad(seed));
+        const loads = SEEDS.map(seed => experiment.createRandomLoad(seed));
         const countValues = (get: (load: experiment.Load) => unknown) => new Set(loads.map(get)).size;
         expect(countValues(load => load.workers)).toBeGreaterThan(15);
         expect(countValues(load => load.zones)).toBe(4);
@@ -43,14 +47,14 @@
 });
 
 describe("the measures", () => {
-    const [planned] = generate.generateJobs(experiment.drawLoad(1), generate.createSource(1));
+    const [planned] = generate.generateJobs(experiment.createRandomLoad(1), generate.createSeededRandom(1));
     const createJob = (zone: string, arrivesAt: number, afterMs: number | undefined): outcomes.JobOutcome => ({
         planned: {
             ...planned!,
             arrivesAt,
             cancelAfterMs: undefined,
             poisoned: false,
-            crashing: false,
+            crashesWorkers: false,
             objectiveMs: 1_000,
             coreSeconds: 10,
         },
@@ -59,7 +63,7 @@
         firstStartMs: 0,
         end: afterMs === undefined ? undefined : { state: "completed", afterMs },
     });
-    const played: outcomes.Played = {
+    const played: outcomes.SimulationResult = {
         jobs: [
             createJob("a", 0, 500),
             createJob("a", 0, 500),
@@ -139,7 +143,7 @@
 describe("a batch", () => {
     const playOne = async (seed: number, leftOut: readonly decisions.Mechanism[] = []) => {
         const task: experiment.BatchTask = { seed, size: "small", variant: { policy: "worth", leftOut } };
-        const [result] = await experiment.playBatch([task], 0);
+        const [result] = await experiment.simulateBatch([task], 0);
         return result!;
     };
 
@@ -147,7 +151,7 @@
         "keeps every promise with hazards on seed %i, and decides otherwise",
         async seed => {
             const variant = { policy: "worth", leftOut: [] } as const;
-            const [result] = await experiment.playBatch([{ seed, size: "small", variant, hazards: true }], 0);
+            const [result] = await experiment.simulateBatch([{ seed, size: "small", variant, hazards: true }], 0);
             expect(result!.breaches).toEqual([]);
             expect(result!.measures).not.toEqual((await playOne(seed)).measures);
         },
@@ -159,7 +163,7 @@
             size: "small",
             variant: { policy: "worth", leftOut: [] },
         }));
-        expect(await experiment.playBatch(tasks, 0)).toEqual([await playOne(24), await playOne(34)]);
+        expect(await experiment.simulateBatch(tasks, 0)).toEqual([await playOne(24), await playOne(34)]);
     });
 
     test.each(Object.entries(SHOWN_ON))(
--- a/src/experiment/__tests__/bound.test.ts
+++ b/src/experiment/__tests__/upperBound.test.ts
@@ -1,15 +1,15 @@
 import * as decisions from "../../decisions/index";
-import * as bound from "../bound";
 import * as generate from "../generate";
 import * as experiment from "../index";
 import type * as loads from "../load";
+import * as bound from "../upperBound";
 
 const SMALL = experiment.LOADS["small"]!;
 const SHORT: loads.Load = { ...SMALL, workers: 8, forMs: 6_000 };
 
 /** Jobs that each need all of one worker's accelerators for 4 s, arrive at once, and have 5 s. */
 function createJobs(count: number): generate.PlannedJob[] {
-    const [sample] = generate.generateJobs(SHORT, generate.createSource(5));
+    const [sample] = generate.generateJobs(SHORT, generate.createSeededRandom(5));
     const step = { ...sample!.job.spec.steps[0]!, count: 1, needs: { ...SHORT.capacity, cpuMillis: 1, memoryMb: 1 } };
     return Array.from({ length: count }, () => ({
         ...sample!,
@@ -38,7 +38,7 @@
 
     test.each([1, 2, 3])("is not exceeded by what was earned, seed %i", async seed => {
         const load: loads.Load = { ...SMALL, workers: 2, forMs: 20_000 };
-        const played = await experiment.play({ load, seed, policy: decisions.POLICIES.worth });
+        const played = await experiment.simulate({ load, seed, policy: decisions.POLICIES.worth });
         const kept = played.jobs.filter(job => job.planned.cancelAfterMs === undefined);
         const earned = experiment.summarise({ ...played, jobs: kept }).all.worth;
         const most = bound.getUpperBound(load, kept.map(job => job.planned));
--- a/src/experiment/batch.ts
+++ b/src/experiment/batch.ts
@@ -1,9 +1,9 @@
 /** Many deployments played under several variants, by some threads at a time. */
 import * as threads from "node:worker_threads";
 import * as decisions from "../decisions/index";
-import * as drawnLoad from "./drawnLoad";
 import * as measures from "./measures";
-import * as play from "./play";
+import * as drawnLoad from "./randomLoad";
+import * as play from "./simulation";
 
 /** A policy, and what is left out of it. */
 export interface Variant {
@@ -25,20 +25,20 @@
     readonly breaches: readonly string[];
 }
 
-export async function playTask({ seed, size, variant, hazards }: BatchTask): Promise<BatchResult> {
+export async function simulateTask({ seed, size, variant, hazards }: BatchTask): Promise<BatchResult> {
     const policy = decisions.disableMechanisms(decisions.POLICIES[variant.policy], variant.leftOut);
-    const drawn = drawnLoad.drawLoad(seed, size);
+    const drawn = drawnLoad.createRandomLoad(seed, size);
     const load = hazards ? drawnLoad.addHazards(drawn, seed) : drawn;
-    const played = await play.play({ load, seed, policy });
+    const played = await play.simulate({ load, seed, policy });
     return { measures: measures.measure(played), breaches: played.breaches };
 }
 
 /** The results in the order of the tasks. `threadCount` 0 plays them here, one after the other. */
-export async function playBatch(tasks: readonly BatchTask[], threadCount: number): Promise<readonly BatchResult[]> {
+export async function simulateBatch(tasks: readonly BatchTask[], threadCount: number): Promise<readonly BatchResult[]> {
     if (threadCount === 0) {
         const results: BatchResult[] = [];
         for (const task of tasks) {
-            results.push(await playTask(task));
+            results.push(await simulateTask(task));
         }
         return results;
     }
--- a/src/experiment/batchThread.ts
+++ b/src/experiment/batchThread.ts
@@ -3,4 +3,4 @@
 import * as batch from "./batch";
 
 const port = threads.parentPort!;
-port.on("message", (task: batch.BatchTask) => void batch.playTask(task).then(result => port.postMessage(result)));
+port.on("message", (task: batch.BatchTask) => void batch.simulateTask(task).then(result => port.postMessage(result)));
--- a/src/experiment/callers.ts
+++ b/src/experiment/callers.ts
@@ -2,13 +2,13 @@
 import type * as clocks from "../clock/index";
 import type * as emulator from "../emulator/index";
 import type * as generate from "./generate";
-import type * as jobRecord from "./jobRecord";
+import type * as jobRecord from "./jobTracker";
 import type * as loads from "./load";
 
-export interface Playing {
+export interface CallerContext {
     readonly site: emulator.Site;
     readonly load: loads.Load;
-    readonly record: jobRecord.JobRecord;
+    readonly record: jobRecord.JobTracker;
     readonly time: clocks.ManualClock;
 }
 
@@ -18,7 +18,7 @@
 const MORE_PAUSE_MS = 150;
 const PATIENCE_MS = 3_000;
 
-export function handIn(planned: generate.PlannedJob, playing: Playing): void {
+export function submitJob(planned: generate.PlannedJob, playing: CallerContext): void {
     const { site, load, record, time } = playing;
     const { job } = planned;
     const startedAt = time.now();
@@ -26,7 +26,7 @@
         const instance = chooseInstance(planned.zone + tries * load.zones, playing);
         void site.submit(job, instance).then(reply => {
             if (reply.kind === "accepted") {
-                record.accept(job.jobId);
+                record.recordAcceptance(job.jobId);
                 if (planned.cancelAfterMs !== undefined) {
                     time.setTimer(planned.cancelAfterMs, () => void site.cancel(job.jobId, instance));
                 }
@@ -37,14 +37,14 @@
                 time.setTimer(pauseMs, () => send(tries + 1));
                 return;
             }
-            record.giveUp(job.jobId);
+            record.recordGiveUp(job.jobId);
         });
     };
     send(0);
 }
 
 /** The balancer's choice: the instance of that number, or the next one that is there. */
-function chooseInstance(wanted: number, { site, load }: Playing): number {
+function chooseInstance(wanted: number, { site, load }: CallerContext): number {
     const candidates = Array.from({ length: load.instances }, (_, next) => (wanted + next) % load.instances);
     return candidates.find(site.isAlive) ?? candidates[0]!;
 }
--- a/src/experiment/troubles.ts
+++ b/src/experiment/faultInjector.ts
@@ -4,10 +4,10 @@
 import type * as random from "../random/index";
 import type * as work from "../work/index";
 import type * as loads from "./load";
-import * as siteOfLoad from "./siteOfLoad";
+import * as siteOfLoad from "./simulatedSite";
 
-export interface Troubles {
-    readonly faults: emulator.WorkerFaults;
+export interface FaultInjector {
+    readonly workerFaults: emulator.WorkerFaults;
     /** Calls to workers so far. */
     countWorkerCalls(): number;
     readonly storeFaults: emulator.StoreFaults;
@@ -19,12 +19,12 @@
 const RESTART_MS = 1_000;
 
 interface Strike {
-    readonly trouble: loads.Trouble;
+    readonly trouble: loads.Fault;
     readonly workerIds: ReadonlySet<string>;
     applied: boolean;
 }
 
-export function createTroubles(
+export function createFaultInjector(
     load: loads.Load,
     workers: readonly leader.WorkerInfo[],
     options: {
@@ -33,7 +33,7 @@
         readonly speeds: readonly number[];
         now(): number;
     },
-): Troubles {
+): FaultInjector {
     const { source, now } = options;
     const speedById = new Map(workers.map((worker, number) => [worker.id, options.speeds[number]!]));
     const strikes = load.troubles.map((trouble): Strike => ({
@@ -48,13 +48,13 @@
     const shrunk: Array<{ readonly addresses: readonly string[]; readonly untilMs: number; }> = [];
     const addresses = (ids: ReadonlySet<string>) =>
         workers.filter(worker => ids.has(worker.id)).map(worker => worker.address);
-    const isStruck = (kind: loads.Trouble["kind"], workerId: string, at: number) =>
+    const isStruck = (kind: loads.Fault["kind"], workerId: string, at: number) =>
         strikes.find(({ trouble, workerIds }) =>
             trouble.kind === kind && workerIds.has(emulator.getFirstWorkerId(workerId)) && "forMs" in trouble
             && isDuring(trouble, at)
         );
     return {
-        faults: {
+        workerFaults: {
             decide: workerId => {
                 workerCalls++;
                 return isStruck("cut", workerId, now()) || isStruck("zoneCut", workerId, now()) ? "cut" : "none";
@@ -129,7 +129,7 @@
 }
 
 function findStruck(
-    trouble: loads.Trouble,
+    trouble: loads.Fault,
     workers: readonly leader.WorkerInfo[],
     source: random.Random,
 ): readonly string[] {
--- a/src/experiment/generate.ts
+++ b/src/experiment/generate.ts
@@ -15,7 +15,7 @@
     /** Whether it fails however often it is tried. */
     readonly poisoned: boolean;
     /** Whether one of its tasks takes each of its workers down: it earns nothing and is not missed. */
-    readonly crashing: boolean;
+    readonly crashesWorkers: boolean;
     /** Time within which it is in time, from its arrival. */
     readonly objectiveMs: number;
     readonly coreSeconds: number;
@@ -24,7 +24,7 @@
 const CANCEL_WITHIN_MS = 8_000;
 
 /** The generator's first numbers are close to an end of their range for small seeds, so they are not used. */
-export function createSource(seed: number): random.Random {
+export function createSeededRandom(seed: number): random.Random {
     const source = random.createRandom(seed);
     for (let skipped = 0; skipped < SKIPPED_NUMBERS; skipped++) {
         source.nextFloat();
@@ -69,12 +69,12 @@
     source: random.Random,
 ): PlannedJob {
     const has = (share: number) => source.nextFloat() < share;
-    const gang = has(item.gangs);
+    const gang = has(item.gangShare);
     const needs: work.Resources = { ...item.needs, accelerators: source.pick(item.accelerators) };
-    const checkpoints = has(item.saves);
-    const sameRack = gang && has(item.sameRack);
-    const dataRack = has(item.nearData) ? getRackName(source.nextInt(load.workers), load) : undefined;
-    const maxPerWorker = has(item.bounded) ? 2 : 0;
+    const checkpoints = has(item.checkpointShare);
+    const sameRack = gang && has(item.sameRackShare);
+    const dataRack = has(item.dataRackShare) ? getRackName(source.nextInt(load.workers), load) : undefined;
+    const maxPerWorker = has(item.maxPerWorkerShare) ? 2 : 0;
     const count = limitWidth(load, needs, draw(item.width, source), gang);
     const durationsMs = Array.from(
         { length: Math.max(1, Math.round(draw(item.steps, source))) },
@@ -94,10 +94,10 @@
         maxPerWorker,
     }));
     const zone = load.zoneShares ? pickShare(load.zoneShares, source) : jobNumber % load.instances;
-    const poisoned = has(item.poison);
+    const poisoned = has(item.poisonedShare);
     const failures = source.nextInt(FAILURE_PATTERNS);
     const jobId = jobNumber.toString(16).padStart(16, "0");
-    const crashing = isUnlucky(jobId, 1, failures, item.crashing ?? 0);
+    const crashing = isUnlucky(jobId, 1, failures, item.crashingShare ?? 0);
     const sumSteps = (getFactor: (factors: readonly number[]) => number) =>
         durationsMs.reduce((sum, durationMs, step) => sum + durationMs * getFactor(unevenness[step]!), 0);
     const chainMs = sumSteps(factors => Math.max(...factors));
@@ -111,14 +111,14 @@
             durationsMs,
             getDurationFactor: (step, index) => unevenness[step]![index]!,
             getCrashAfterMs: task => crashing && task.endsWith(".0.0") ? CRASH_AFTER_MS : undefined,
-            fails: (task, run) => poisoned || isUnlucky(task, run, failures, item.fails),
+            fails: (task, run) => poisoned || isUnlucky(task, run, failures, item.failedRunShare),
         },
         class: item,
         zone,
         arrivesAt,
-        cancelAfterMs: has(item.cancelled) ? source.nextFloat() * CANCEL_WITHIN_MS : undefined,
+        cancelAfterMs: has(item.cancelledShare) ? source.nextFloat() * CANCEL_WITHIN_MS : undefined,
         poisoned,
-        crashing,
+        crashesWorkers: crashing,
         objectiveMs: item.stretch * chainMs + item.objectiveMs,
         coreSeconds: workMs / 1_000 * (needs.cpuMillis / 1_000 + CORES_PER_ACCELERATOR * needs.accelerators),
     };
@@ -152,7 +152,7 @@
     return Math.max(1, Math.min(most, Math.round(width)));
 }
 
-function draw({ mean, spread, most }: loads.Spread, source: random.Random): number {
+function draw({ mean, variation: spread, max: most }: loads.Distribution, source: random.Random): number {
     // Between even and exponential: the sheets' widths have a long tail, their durations next to none.
     const value = mean * (1 - spread) + (spread > 0 ? source.nextExponential(mean * spread) : 0);
     return Math.min(most, value);
@@ -175,11 +175,13 @@
 }
 
 function drawUnevenness(item: loads.JobClass, source: random.Random): number {
-    return item.uneven > 0 ? Math.exp(item.uneven * source.nextNormal()) : 1;
+    return item.durationSigma > 0 ? Math.exp(item.durationSigma * source.nextNormal()) : 1;
 }
 
 /** What a caller estimates for its task, as a share of what the task takes. */
 function drawEstimate(item: loads.JobClass, source: random.Random): number {
     const offset = 2 * source.nextFloat() - 1;
-    return item.estimateOffShare === undefined ? item.estimateOff ** offset : 1 + item.estimateOffShare * offset;
+    return item.estimateErrorShare === undefined
+        ? item.estimateErrorFactor ** offset
+        : 1 + item.estimateErrorShare * offset;
 }
--- a/src/experiment/jobRecord.ts
+++ b/src/experiment/jobTracker.ts
@@ -1,23 +1,23 @@
 /** Follows the jobs of a play by what the instances log. */
 import type * as emulator from "../emulator/index";
 import * as generate from "./generate";
-import type * as outcomes from "./played";
+import type * as outcomes from "./simulationResult";
 
 /** What the instances log of the jobs, as it comes. */
-export interface JobRecord {
+export interface JobTracker {
     readonly log: Parameters<typeof emulator.createSite>[0]["log"];
-    accept(jobId: string): void;
+    recordAcceptance(jobId: string): void;
     /** Its caller does not come back. */
-    giveUp(jobId: string): void;
+    recordGiveUp(jobId: string): void;
     /** Whether jobs are still to come or to end. */
-    isOpen(): boolean;
+    hasPendingJobs(): boolean;
     countWaiting(): number;
     getOutcomes(): outcomes.JobOutcome[];
-    getLosses(): Pick<outcomes.Played, "thrownAwayCoreSeconds" | "stoppedRuns" | "lossByReason">;
+    getThrownAwayWork(): Pick<outcomes.SimulationResult, "thrownAwayCoreSeconds" | "stoppedRuns" | "lossByReason">;
 }
 
 /** Follows the jobs by what the instances log. */
-export function createRecord(planned: readonly generate.PlannedJob[], now: () => number): JobRecord {
+export function createJobTracker(planned: readonly generate.PlannedJob[], now: () => number): JobTracker {
     interface Entry {
         readonly planned: generate.PlannedJob;
         accepted: boolean;
@@ -67,14 +67,14 @@
     };
     return {
         log: { info: take, warn: take, error: take },
-        accept: jobId => {
+        recordAcceptance: jobId => {
             entries.get(jobId)!.accepted = true;
         },
-        giveUp: jobId => {
+        recordGiveUp: jobId => {
             const entry = entries.get(jobId)!;
             entry.end ??= { state: "refused", at: now() };
         },
-        isOpen: () => [...entries.values()].some(entry => !entry.end),
+        hasPendingJobs: () => [...entries.values()].some(entry => !entry.end),
         countWaiting: () =>
             [...entries.values()].filter(entry => entry.accepted && entry.firstStartAt === undefined && !entry.end)
                 .length,
@@ -88,6 +88,6 @@
                     : entry.firstStartAt - entry.planned.arrivesAt,
                 end: entry.end && { state: entry.end.state, afterMs: entry.end.at - entry.planned.arrivesAt },
             })),
-        getLosses: () => ({ thrownAwayCoreSeconds, stoppedRuns, lossByReason }),
+        getThrownAwayWork: () => ({ thrownAwayCoreSeconds, stoppedRuns, lossByReason }),
     };
 }
--- a/src/experiment/load.ts
+++ b/src/experiment/load.ts
@@ -2,10 +2,10 @@
 import type * as work from "../work/index";
 
 /** A number around `mean`, at most `most`; `spread` 0 is always the mean. */
-export interface Spread {
+export interface Distribution {
     readonly mean: number;
-    readonly spread: number;
-    readonly most: number;
+    readonly variation: number;
+    readonly max: number;
 }
 
 export interface JobClass {
@@ -14,33 +14,33 @@
     readonly priority: number;
     /** Jobs a second over the whole site. */
     readonly perSecond: number;
-    readonly durationMs: Spread;
+    readonly durationMs: Distribution;
     /** Standard deviation of the logarithm of what the tasks of one step take; 0: all the same. */
-    readonly uneven: number;
+    readonly durationSigma: number;
     /** Tasks of a step. */
-    readonly width: Spread;
+    readonly width: Distribution;
     /** Steps, each after the one before. */
-    readonly steps: Spread;
+    readonly steps: Distribution;
     readonly needs: Omit<work.Resources, "accelerators">;
     /** A job takes one of these for each of its tasks. */
     readonly accelerators: readonly number[];
     /** Shares of the jobs. */
-    readonly gangs: number;
-    readonly sameRack: number;
-    readonly saves: number;
-    readonly nearData: number;
-    readonly bounded: number;
-    readonly cancelled: number;
+    readonly gangShare: number;
+    readonly sameRackShare: number;
+    readonly checkpointShare: number;
+    readonly dataRackShare: number;
+    readonly maxPerWorkerShare: number;
+    readonly cancelledShare: number;
     /** Share of the jobs that fail each time. */
-    readonly poison: number;
+    readonly poisonedShare: number;
     /** Share of the jobs with a task that takes each of its workers down; without it none. */
-    readonly crashing?: number;
+    readonly crashingShare?: number;
     /** Share of the runs that fail. */
-    readonly fails: number;
+    readonly failedRunShare: number;
     /** Estimates are off by up to this factor, either way; 1: exact. */
-    readonly estimateOff: number;
+    readonly estimateErrorFactor: number;
     /** Set where estimates are off by up to this share instead, either way. */
-    readonly estimateOffShare?: number;
+    readonly estimateErrorShare?: number;
     /** The objective is this multiple of the job's longest chain of work, and `objectiveMs` more. */
     readonly stretch: number;
     readonly objectiveMs: number;
@@ -48,7 +48,7 @@
     readonly worth: { readonly inTime: number; readonly late: number; };
 }
 
-export type Trouble =
+export type Fault =
     /** A share of the workers is `times` slower. */
     | { readonly kind: "slow"; readonly atMs: number; readonly forMs: number; readonly share: number; times: number; }
     /** Tasks on a share of the workers stand still. */
@@ -98,7 +98,7 @@
     readonly classes: readonly JobClass[];
     /** Jobs come for this long. */
     readonly forMs: number;
-    readonly troubles: readonly Trouble[];
+    readonly troubles: readonly Fault[];
     /** Speeds of which each worker has one, at random; without it all have 1. */
     readonly speeds?: readonly number[];
     /** Share of the instances that are strong, the first of each zone; without it all are alike. */
--- a/src/experiment/measures.ts
+++ b/src/experiment/measures.ts
@@ -1,5 +1,5 @@
 /** The measures by which two versions are compared on one deployment, each a number. */
-import type * as outcomes from "./played";
+import type * as outcomes from "./simulationResult";
 import * as summary from "./summary";
 import * as worth from "./worth";
 
@@ -28,7 +28,7 @@
 /** A group with less of the jobs says more of luck than of a policy. */
 const LEAST_SHARE = 0.05;
 
-export function measure(played: outcomes.Played): Measures {
+export function measure(played: outcomes.SimulationResult): Measures {
     const told = summary.summarise(played);
     const jobs = Math.max(1, played.jobs.length);
     const parts = {
@@ -57,14 +57,14 @@
     return Math.min(...(counted.length > 0 ? counted : groups).map(group => group.worth), 1);
 }
 
-function getWorstWindows(played: outcomes.Played): number {
+function getWorstWindows(played: outcomes.SimulationResult): number {
     const windows = summary.groupBy(played.jobs, job => String(Math.floor(job.planned.arrivesAt / WINDOW_MS)));
     const shares = windows.filter(group => group.asked > group.cancelled).map(group => group.worth);
     const worst = shares.sort((a, b) => a - b).slice(0, WORST_WINDOWS);
     return worst.length === 0 ? 1 : worst.reduce((sum, share) => sum + share, 0) / worst.length;
 }
 
-function getOwed(played: outcomes.Played): number {
+function getOwed(played: outcomes.SimulationResult): number {
     const planned = played.jobs.map(job => job.planned);
     const getWeight = worth.createWeights(planned);
     return planned.filter(job => job.cancelAfterMs === undefined)
--- a/src/experiment/drawnLoad.ts
+++ b/src/experiment/randomLoad.ts
@@ -24,8 +24,8 @@
 const MOST_CLASSES = 4;
 const MOST_TROUBLES = 4;
 
-export function drawLoad(seed: number, size: Size = Size.Small): loads.Load {
-    const source = generate.createSource(seed);
+export function createRandomLoad(seed: number, size: Size = Size.Small): loads.Load {
+    const source = generate.createSeededRandom(seed);
     const between = (least: number, most: number) => least + (most - least) * source.nextFloat();
     /** As likely between 1 and 2 as between 2 and 4. */
     const betweenByRatio = (least: number, most: number) => least * (most / least) ** source.nextFloat();
@@ -68,10 +68,10 @@
  * apart, so that all else stays as it was.
  */
 export function addHazards(load: loads.Load, seed: number): loads.Load {
-    const source = generate.createSource(seed + FIRST_HAZARD_SEED);
-    const ids = generate.createSource(seed + FIRST_ID_SEED);
+    const source = generate.createSeededRandom(seed + FIRST_HAZARD_SEED);
+    const ids = generate.createSeededRandom(seed + FIRST_ID_SEED);
     const crashing = source.pick([0, 0.02, 0.05]);
-    const hazards = Array.from({ length: 1 + source.nextInt(MOST_HAZARDS) }, (): loads.Trouble => {
+    const hazards = Array.from({ length: 1 + source.nextInt(MOST_HAZARDS) }, (): loads.Fault => {
         const atMs = 2_000 + source.nextInt(FOR_MS - 8_000);
         const share = 0.05 + 0.3 * source.nextFloat();
         const racks = source.nextInt(2) === 0;
@@ -98,7 +98,7 @@
 /** Of the instances of a large site; the others have a fourth of their processor time. */
 const STRONG_SHARE = 0.15;
 
-function drawZoneCut(zones: number, source: random.Random): loads.Trouble[] {
+function drawZoneCut(zones: number, source: random.Random): loads.Fault[] {
     const isCut = source.nextFloat() < ZONE_CUT_SHARE;
     const atMs = 2_000 + source.nextInt(FOR_MS - 8_000);
     const forMs = 3_000 + source.nextInt(6_000);
@@ -134,26 +134,26 @@
         name,
         priority,
         perSecond: 0,
-        durationMs: { mean: duration, spread: between(0.2, 0.6), most: 3 * duration },
-        uneven: between(0.1, 0.45),
-        width: { mean: width, spread: 0.8, most: 6 * width },
-        steps: { mean: steps, spread: urgent ? 0 : 0.4, most: 3 },
+        durationMs: { mean: duration, variation: between(0.2, 0.6), max: 3 * duration },
+        durationSigma: between(0.1, 0.45),
+        width: { mean: width, variation: 0.8, max: 6 * width },
+        steps: { mean: steps, variation: urgent ? 0 : 0.4, max: 3 },
         needs: {
             cpuMillis: Math.round(capacity.cpuMillis * between(0.05, 0.45)),
             memoryMb: Math.round(capacity.memoryMb * between(0.05, 0.35)),
         },
         accelerators: source.pick(gangs > 0 ? [[1, 2, 4, 8, 8], [1, 2, 4], [2, 4]] : [[1], [1], [1, 2, 4]])
             .filter(count => count <= capacity.accelerators),
-        gangs,
-        sameRack: gangs > 0 ? between(0, 0.9) : 0,
-        saves: source.pick([0, 0.45, 0.8]),
-        nearData: between(0, 0.35),
-        bounded: gangs > 0 ? 0 : between(0, 0.2),
-        cancelled: urgent ? 0 : between(0, 0.2),
-        poison: source.pick([0, 0, 0.01]),
-        fails: between(0, 0.06),
-        estimateOff: 1,
-        estimateOffShare: between(0, 0.9),
+        gangShare: gangs,
+        sameRackShare: gangs > 0 ? between(0, 0.9) : 0,
+        checkpointShare: source.pick([0, 0.45, 0.8]),
+        dataRackShare: between(0, 0.35),
+        maxPerWorkerShare: gangs > 0 ? 0 : between(0, 0.2),
+        cancelledShare: urgent ? 0 : between(0, 0.2),
+        poisonedShare: source.pick([0, 0, 0.01]),
+        failedRunShare: between(0, 0.06),
+        estimateErrorFactor: 1,
+        estimateErrorShare: between(0, 0.9),
         stretch: urgent ? between(1.3, 2.5) : between(2, 4),
         objectiveMs: urgent ? between(200, 1_000) : between(500, 3_000),
         maxAttempts: 2 + source.nextInt(3),
@@ -172,7 +172,7 @@
     return item.width.mean * item.steps.mean * item.durationMs.mean / 1_000 * ofWorker / workers;
 }
 
-function drawTrouble(classes: readonly loads.JobClass[], source: random.Random): loads.Trouble {
+function drawTrouble(classes: readonly loads.JobClass[], source: random.Random): loads.Fault {
     const atMs = 2_000 + source.nextInt(FOR_MS - 8_000);
     const forMs = 3_000 + source.nextInt(6_000);
     const share = 0.05 + 0.2 * source.nextFloat();
--- a/src/experiment/report.ts
+++ b/src/experiment/report.ts
@@ -1,5 +1,5 @@
 /** An HTML page with charts of what was played. */
-import type * as outcomes from "./played";
+import type * as outcomes from "./simulationResult";
 import type * as summary from "./summary";
 
 export interface Result {
--- a/src/experiment/siteOfLoad.ts
+++ b/src/experiment/simulatedSite.ts
@@ -26,7 +26,7 @@
 }
 
 /** Processor time of an instance, in cores; instances lie in the zones in turns, so the first ones are of all zones. */
-export function getPower(instance: number, load: loads.Load): number {
+export function getInstanceCores(instance: number, load: loads.Load): number {
     const { strongShare = 1 } = load;
     return instance < strongShare * load.instances ? STRONG_CORES : WEAK_CORES;
 }
@@ -36,7 +36,7 @@
 
 /** How fast each worker is; drawn apart from all else, so that the load's jobs and troubles stay the same. */
 export function drawSpeeds(load: loads.Load, seed: number): readonly number[] {
-    const source = generate.createSource(seed + FIRST_SPEED_SEED);
+    const source = generate.createSeededRandom(seed + FIRST_SPEED_SEED);
     return Array.from({ length: load.workers }, () => source.pick(load.speeds ?? [1]));
 }
 
--- a/src/experiment/play.ts
+++ b/src/experiment/simulation.ts
@@ -5,14 +5,14 @@
 import type * as leader from "../leader/index";
 import * as telemetry from "../telemetry/index";
 import * as callers from "./callers";
+import * as troubles from "./faultInjector";
 import * as generate from "./generate";
-import * as jobRecord from "./jobRecord";
+import * as jobRecord from "./jobTracker";
 import type * as loads from "./load";
-import type * as outcomes from "./played";
-import * as siteOfLoad from "./siteOfLoad";
-import * as troubles from "./troubles";
+import * as siteOfLoad from "./simulatedSite";
+import type * as outcomes from "./simulationResult";
 
-export interface PlayOptions {
+export interface SimulationOptions {
     readonly load: loads.Load;
     readonly seed: number;
     readonly policy: decisions.Policy;
@@ -25,15 +25,15 @@
 /** After the last arrival: what is not done then counts as not served. */
 const FINISH_MS = 40_000;
 
-export async function play(options: PlayOptions): Promise<outcomes.Played> {
+export async function simulate(options: SimulationOptions): Promise<outcomes.SimulationResult> {
     const { load } = options;
-    const source = generate.createSource(options.seed);
+    const source = generate.createSeededRandom(options.seed);
     const planned = generate.generateJobs(load, source);
     const time = clocks.createManualClock(1_700_000_000_000);
     const startAt = time.now() + LEAD_MS;
-    const record = jobRecord.createRecord(planned, () => time.now() - startAt);
+    const record = jobRecord.createJobTracker(planned, () => time.now() - startAt);
     const workers = Array.from({ length: load.workers }, (_, number) => siteOfLoad.createWorker(number, load));
-    const affected = troubles.createTroubles(load, workers, {
+    const affected = troubles.createFaultInjector(load, workers, {
         source,
         speeds: siteOfLoad.drawSpeeds(load, options.seed),
         now: () => time.now() - startAt,
@@ -43,10 +43,10 @@
         log: record.log,
         ...telemetry.createMetrics(),
         instances: load.instances,
-        getPower: number => siteOfLoad.getPower(number, load),
+        getPower: number => siteOfLoad.getInstanceCores(number, load),
         workers,
         catalog: siteOfLoad.createCatalog(load),
-        workerFaults: affected.faults,
+        workerFaults: affected.workerFaults,
         storeFaults: affected.storeFaults,
         policy: options.policy,
     });
@@ -54,9 +54,9 @@
     await time.advance(LEAD_MS);
     let next = 0;
     let sampleAt = 0;
-    for (let at = 0; at < load.forMs + FINISH_MS && record.isOpen(); at += STEP_MS) {
+    for (let at = 0; at < load.forMs + FINISH_MS && record.hasPendingJobs(); at += STEP_MS) {
         for (; next < planned.length && planned[next]!.arrivesAt <= at; next++) {
-            callers.handIn(planned[next]!, { site, load, record, time });
+            callers.submitJob(planned[next]!, { site, load, record, time });
         }
         affected.apply(site, at);
         if (at >= sampleAt) {
@@ -69,7 +69,7 @@
     return {
         jobs: record.getOutcomes(),
         samples,
-        ...record.getLosses(),
+        ...record.getThrownAwayWork(),
         workerCalls: affected.countWorkerCalls(),
         breaches: emulator.listViolations(site.workers),
         simulatedMs: time.now() - startAt,
--- a/src/experiment/played.ts
+++ b/src/experiment/simulationResult.ts
@@ -21,7 +21,7 @@
     readonly waitingJobs: number;
 }
 
-export interface Played {
+export interface SimulationResult {
     readonly jobs: readonly JobOutcome[];
     readonly samples: readonly Sample[];
     /** Core-seconds of runs that were stopped, broken or lapsed and not saved. */
--- a/src/experiment/summary.ts
+++ b/src/experiment/summary.ts
@@ -1,6 +1,6 @@
 /** What callers got: by class, account and zone, and in all. */
 import * as hdr from "hdr-histogram-js";
-import type * as outcomes from "./played";
+import type * as outcomes from "./simulationResult";
 import * as worth from "./worth";
 
 export interface Group {
@@ -38,7 +38,7 @@
 
 const HOUR_MS = 3_600_000;
 
-export function summarise(played: outcomes.Played): Summary {
+export function summarise(played: outcomes.SimulationResult): Summary {
     const { jobs, samples } = played;
     const mean = (values: readonly number[]) =>
         values.length === 0 ? 0 : values.reduce((sum, value) => sum + value, 0) / values.length;
@@ -71,7 +71,7 @@
     if (planned.cancelAfterMs !== undefined && end?.state === "cancelled") {
         return "cancelled";
     }
-    if (planned.crashing && end?.state === "failed") {
+    if (planned.crashesWorkers && end?.state === "failed") {
         return "cancelled";
     }
     if (!end || (end.state === "failed" && !planned.poisoned)) {
--- a/src/scenario/fakeRacks.ts
+++ b/src/scenario/fakeRacks.ts
@@ -22,11 +22,11 @@
     setReceiver(receive: (report: peer.RackReport) => peer.RackReportReply | undefined): void;
     readonly records: readonly RunRecord[];
     /** Most accelerators ever in use on a worker beyond what it has. */
-    getOverbooked(): number;
+    getMaxOverbooking(): number;
     setLost(workerId: string, lost: boolean): void;
     setFailing(workerId: string, failing: boolean): void;
     setSilent(rackId: string, silent: boolean): void;
-    setLosesAnswers(rackId: string, loses: boolean): void;
+    setDropsResponses(rackId: string, loses: boolean): void;
 }
 
 interface FakeTask {
@@ -279,7 +279,7 @@
 
     return {
         records,
-        getOverbooked: () => overbooked,
+        getMaxOverbooking: () => overbooked,
         setReceiver: receiver => {
             receive = receiver;
         },
@@ -309,6 +309,6 @@
         },
         setFailing: (workerId, isFailing) => isFailing ? void failing.add(workerId) : void failing.delete(workerId),
         setSilent: (rackId, isSilent) => isSilent ? void silent.add(rackId) : void silent.delete(rackId),
-        setLosesAnswers: (rackId, loses) => loses ? void losing.add(rackId) : void losing.delete(rackId),
+        setDropsResponses: (rackId, loses) => loses ? void losing.add(rackId) : void losing.delete(rackId),
     };
 }
--- a/src/scenario/fakeTable.ts
+++ b/src/scenario/fakeTable.ts
@@ -4,7 +4,7 @@
 
 export interface FakeTable extends platform.TableService {
     setDown(down: boolean): void;
-    setLosesAnswers(loses: boolean): void;
+    setDropsResponses(loses: boolean): void;
     read(key: string): string | undefined;
 }
 
@@ -20,7 +20,7 @@
         setDown: isDown => {
             down = isDown;
         },
-        setLosesAnswers: loses => {
+        setDropsResponses: loses => {
             losing = loses;
         },
         read: key => rows.get(key)?.value,
--- a/src/scenario/runScenario.ts
+++ b/src/scenario/runScenario.ts
@@ -159,7 +159,7 @@
                 table.setDown(on);
                 return;
             case "storeLosesAnswers":
-                table.setLosesAnswers(on);
+                table.setDropsResponses(on);
                 return;
             case "workerLost":
                 racks.setLost(fault.target, on);
@@ -171,7 +171,7 @@
                 racks.setSilent(fault.target, on);
                 return;
             case "rackLosesAnswers":
-                racks.setLosesAnswers(fault.target, on);
+                racks.setDropsResponses(fault.target, on);
                 return;
             case "ownerKilled":
                 if (on) {
@@ -256,7 +256,7 @@
         .reduce((sum, [, value]) => sum + value, 0);
     compare("partial gangs", expectation.partialGangs, countPartialGangs(view), equal);
     compare("double starts", expectation.doubleStarts, countDoubleStarts(view), equal);
-    compare("overbooked accelerators", expectation.overbooked, view.racks.getOverbooked(), equal);
+    compare("overbooked accelerators", expectation.overbooked, view.racks.getMaxOverbooking(), equal);
     compare(
         "unfinished jobs",
         expectation.unfinished,
