--- a/src/leader/jobRegistry.ts
+++ b/src/leader/jobRegistry.ts
@@ -69,7 +69,7 @@
         next?: lossesOfWorkers.NextIncarnation,
     ): void;
     /** Learns whether workers that were lost have crashed. */
-    readonly crashJudge: crashes.CrashAttribution;
+    readonly crashAttribution: crashes.CrashAttribution;
     /** Drops a job that is over and that nothing runs for. */
     forgetJob(job: entries.JobEntry): void;
 }
@@ -398,7 +398,7 @@
             }
         },
         loseTasksOf: losses.loseTasksOf,
-        crashJudge: losses.crashAttribution,
+        crashAttribution: losses.crashAttribution,
         forgetJob: job => {
             jobs.delete(job.submission.jobId);
             for (const occurrence of job.occurrences.values()) {
--- a/src/leader/taskWatchdog.ts
+++ b/src/leader/taskWatchdog.ts
@@ -68,20 +68,22 @@
         readonly expect: units.RunTimeEstimator;
         readonly jobRegistry: book.JobRegistry;
         readonly log: observe.Log;
-        readonly leftOut: ReadonlySet<decisions.Mechanism>;
+        readonly disabledMechanisms: ReadonlySet<decisions.Mechanism>;
     },
 ): void {
-    const { leftOut } = options;
+    const { disabledMechanisms } = options;
     for (const worker of workers) {
         blame.quarantineIfFailing(worker, options);
         for (const task of worker.tasks) {
             if (task.phase !== "running" || !worker.reachable) {
                 continue;
             }
-            if (worker.info.draining && !leftOut.has("leavingWorkers") && !endsInTime(task, worker, options)) {
+            if (
+                worker.info.draining && !disabledMechanisms.has("leavingWorkers") && !endsInTime(task, worker, options)
+            ) {
                 options.jobRegistry.requestStop(task, "workerLeaves");
             }
-            else if (!leftOut.has("hangingTasks") && hangs(task, options.expect)) {
+            else if (!disabledMechanisms.has("hangingTasks") && hangs(task, options.expect)) {
                 task.stalls++;
                 worker.quarantinedUntil = options.now + HANG_ASIDE_MS;
                 options.log.warn("workerSuspect", { worker: worker.id, reason: "no progress", task: task.name });
--- a/src/leader/term.ts
+++ b/src/leader/term.ts
@@ -187,7 +187,7 @@
                 const before = worker.reachable;
                 entries.setReachable(worker, heard, time.now());
                 if (heard && !before) {
-                    book.crashJudge.recordWorkerSeen(worker.info);
+                    book.crashAttribution.recordWorkerSeen(worker.info);
                     planPass(PASS_DELAY_MS);
                 }
             },
@@ -266,7 +266,13 @@
         book.releaseDueOccurrences();
         const now = time.now();
         const view = createView(guarantees.findGuaranteedJobs(book.active, options.catalog.getAccount));
-        watch.stopUnviableTasks([...registry.workers.values()], { now, expect, jobRegistry: book, log, leftOut });
+        watch.stopUnviableTasks([...registry.workers.values()], {
+            now,
+            expect,
+            jobRegistry: book,
+            log,
+            disabledMechanisms: leftOut,
+        });
         const waiting = units.collectWaitingUnits(book.active, view);
         if (waiting.length === 0) {
             return;
--- a/src/leader/workerRegistry.ts
+++ b/src/leader/workerRegistry.ts
@@ -17,7 +17,7 @@
     readonly log: observe.Log;
     readonly leadership: heldLease.Leadership;
     readonly maxLeaseMs: number;
-    readonly jobRegistry: Pick<bookOfTasks.JobRegistry, "loseTasksOf" | "crashJudge">;
+    readonly jobRegistry: Pick<bookOfTasks.JobRegistry, "loseTasksOf" | "crashAttribution">;
     /** Leaves out workers that no queue can use. */
     filterKnownServices<T extends entries.WorkerInfo>(listed: readonly T[]): readonly T[];
     openSession(worker: entries.WorkerEntry): workerSession.WorkerSession;
@@ -69,7 +69,7 @@
         byName.get(worker.incarnation.name)?.delete(worker);
     };
     const openSession = (worker: entries.WorkerEntry) => {
-        book.crashJudge.recordWorkerSeen(worker.info);
+        book.crashAttribution.recordWorkerSeen(worker.info);
         sessions.set(worker.id, options.openSession(worker));
     };
     /** `lists`: what the next life has told, if it has answered. */
