--- a/src/leader/__tests__/crashHistory.test.ts
+++ b/src/leader/__tests__/crashHistory.test.ts
@@ -3,7 +3,7 @@
 interface Case {
     readonly name: string;
     readonly stored?: crashHistory.CrashCounts;
-    /** A run of the task is under way as its row is read. */
+    /** The stored task has a run. */
     readonly isPlaced?: boolean;
     readonly act: (history: crashHistory.CrashHistory) => void;
     readonly knownCrashes: number;
@@ -15,10 +15,10 @@
 
 function lose(
     history: crashHistory.CrashHistory,
-    mostAgeMs: number,
+    maxAgeMs: number,
     certainty: crashHistory.Certainty = Certainty.None,
 ): crashHistory.RunLoss {
-    const loss = { mostAgeMs, certainty, isDisproved: false };
+    const loss = { maxAgeMs, certainty, isDisproved: false };
     crashHistory.recordStart(history);
     crashHistory.recordLoss(history, loss);
     return loss;
@@ -28,16 +28,16 @@
 const counts = (knownCrashes: number, crashBudgetUsed: number) => ({ knownCrashes, crashBudgetUsed });
 
 const cases: readonly Case[] = [
-    { name: "that were never lost", act: () => undefined, ...counts(0, 0) },
+    { name: "without a loss", act: () => undefined, ...counts(0, 0) },
     { name: "of which one may have crashed its worker", act: history => lose(history, Infinity), ...counts(0, 1) },
     {
-        name: "of which two crashed their workers for certain",
+        name: "of which two certainly crashed their workers",
         act: history => times(2, () => lose(history, 100, Certainty.Certain)),
         ...counts(2, 2),
         isBeyondLimit: true,
     },
     {
-        name: "of which one crashed its worker for certain, and two are likely to have",
+        name: "of which one certainly and two likely crashed their workers",
         act: history => {
             lose(history, 100, Certainty.Certain);
             times(2, () => lose(history, 100, Certainty.Likely));
@@ -46,7 +46,7 @@
         isBeyondLimit: true,
     },
     {
-        name: "of which three are likely to have crashed their workers",
+        name: "of which three likely crashed their workers",
         act: history => times(3, () => lose(history, 100, Certainty.Likely)),
         ...counts(1.5, 3),
     },
@@ -71,12 +71,12 @@
         ...counts(0, 3),
     },
     {
-        name: "of which a fourth may have crashed its worker, whose start was counted",
+        name: "of which a fourth, whose start was charged, may have crashed its worker",
         act: history => times(4, () => lose(history, 100)),
         ...counts(0, 4),
     },
     {
-        name: "of which the worker of one answers after all",
+        name: "of which one was lost with a worker that answers again",
         act: history => {
             lose(history, 100);
             lose(history, Infinity).isDisproved = true;
@@ -84,7 +84,7 @@
         ...counts(0, 1),
     },
     {
-        name: "of which a later one works for much longer than the lost ones",
+        name: "of which a later one runs for much longer than the lost ones",
         act: history => {
             times(2, () => lose(history, 1_000));
             crashHistory.recordRunTime(history, 4_000);
@@ -92,7 +92,7 @@
         ...counts(0, 0),
     },
     {
-        name: "of which a later one works for a little longer than the lost ones",
+        name: "of which a later one runs for a little longer than the lost ones",
         act: history => {
             times(2, () => lose(history, 1_000));
             crashHistory.recordRunTime(history, 3_000);
@@ -109,37 +109,37 @@
         ...counts(0, 1),
     },
     {
-        name: "that an earlier leader counted, of which a later one works for long",
+        name: "that an earlier leader counted, of which a later one runs for long",
         stored: counts(1, 2),
         act: history => crashHistory.recordRunTime(history, 60_000),
         ...counts(1, 2),
     },
     {
-        name: "that an earlier leader counted, with the one under way, which never began",
+        name: "that an earlier leader counted with the current start, which is refunded",
         stored: counts(0, 5),
         isPlaced: true,
         act: crashHistory.refundStart,
         ...counts(0, 4),
     },
     {
-        name: "that an earlier leader counted, without the one under way, which never began",
+        name: "that an earlier leader counted without the current start, which is not refunded",
         stored: counts(0, 3),
         isPlaced: true,
         act: crashHistory.refundStart,
         ...counts(0, 3),
     },
     {
-        name: "that an earlier leader counted, with the one under way, which is lost",
+        name: "that an earlier leader counted with the current start, whose run is lost",
         stored: counts(0, 4),
         isPlaced: true,
         act: history =>
-            crashHistory.recordLoss(history, { mostAgeMs: Infinity, certainty: Certainty.None, isDisproved: false }),
+            crashHistory.recordLoss(history, { maxAgeMs: Infinity, certainty: Certainty.None, isDisproved: false }),
         ...counts(0, 4),
     },
 ];
 
-// Guards against a start beyond the budget for crashes, and against a sound task that is given up.
-describe("of a task with runs", () => {
+// Guards against starts beyond the crash budget, and against giving up a healthy task.
+describe("crash counts of a task with runs", () => {
     test.each(cases)("$name", ({ stored, isPlaced = false, act, isBeyondLimit = false, ...expected }) => {
         const history = stored
             ? crashHistory.restoreCrashHistory(stored, isPlaced)
--- a/src/leader/crashHistory.ts
+++ b/src/leader/crashHistory.ts
@@ -1,69 +1,74 @@
 /**
- * What the losses of its workers say of a task.
+ * Counts the worker crashes that a task may have caused.
  *
- * A task may take down each worker that starts it. How often that has happened is known only within bounds: a run may
- * have ended before its worker crashed, or never have begun. So two counts are kept. The lower one says when the job may
- * be shown as failed; the upper one, when a further start could be one too many.
+ * How often a task has crashed its worker is known only within bounds: a run may have ended before its worker crashed, or
+ * may never have begun. So two counts are kept. The lower bound decides when the job is reported as failed, the upper
+ * bound when a further start would exceed the limit.
  */
 
-/** As stored with the task. */
+/** Crash counts as stored in the task's row. */
 export interface CrashCounts {
-    /** Workers that crashed under it, as far as is known: the sum of `Certainty`. */
+    /** Lower bound of the crashes that the task caused: the sum of the `Certainty` of its losses. */
     readonly knownCrashes: number;
-    /** Workers that may have crashed under it; after `CRASHES_BEFORE_CHARGE` of them also each further start. */
+    /** Upper bound: possible crashes and, once there are `CRASHES_BEFORE_CHARGE` of them, each further start. */
     readonly crashBudgetUsed: number;
 }
 
-/** Whether a worker has crashed under a run, in crashes. */
+/** How certain it is that a run has crashed its worker, as a share of one crash. */
 export const Certainty = {
-    /** The run may not have begun, or its worker may not have crashed, or its rack went down with it. */
+    /** The run may not have begun, or its worker may not have crashed, or the whole rack failed. */
     None: 0,
-    /** The worker told of the run, and has crashed since; the run may have ended before, and others may be to blame. */
+    /** The worker confirmed the run and has crashed since; the run may have ended before, or other runs may be the cause. */
     Likely: 0.5,
-    /** The run was there, had just begun, and no other cause is in sight. */
+    /** The run was running, had just begun, and no other cause is known. */
     Certain: 1,
 } as const;
 export type Certainty = typeof Certainty[keyof typeof Certainty];
 
 /** A run that was lost with its worker. */
 export interface RunLoss {
-    /** How old the run was at most when its worker's life was over; `Infinity` where that is not known. */
-    readonly mostAgeMs: number;
+    /** Maximum age of the run when its worker's incarnation ended, in milliseconds; `Infinity` if unknown. */
+    readonly maxAgeMs: number;
     certainty: Certainty;
-    /** Its worker was only out of reach. */
+    /** Whether the worker turned out to have been merely unreachable. */
     isDisproved: boolean;
 }
 
+/** The losses and charged starts of a task. */
 export interface CrashHistory {
-    /** Counted by earlier leaders. */
+    /** Counts that were stored by earlier leaders. */
     readonly stored: CrashCounts;
     readonly losses: RunLoss[];
-    /** Starts that count whether or not they ended in a loss. */
+    /** Starts that count against the budget whether or not they end in a loss. */
     chargedStarts: number;
-    /** The current run's start is one of them. */
+    /** Whether the current run's start is one of the charged starts. */
     isStartCharged: boolean;
-    /** The longest time for which a run of the task is known to have worked. */
+    /** Longest time for which a run of the task was observed to make progress, in milliseconds. */
     longestRunMs: number;
 }
 
-/** So many known crashes are enough to give a task up. */
-const ENOUGH_CRASHES = 2;
-/** A task that takes its workers down may be started `STARTS_AFTER` times more after so many crashes. */
+/** Number of known crashes after which a task is given up. */
+const KNOWN_CRASH_LIMIT = 2;
+/** After this many possible crashes every start is charged, so that only `STARTS_AFTER` more starts are allowed. */
 const CRASHES_BEFORE_CHARGE = 3;
-const STARTS_AFTER = 2;
-const CRASH_BUDGET = CRASHES_BEFORE_CHARGE + STARTS_AFTER;
-/** A task under which so many workers may have crashed is started apart from others that have just begun. */
-const SUSPECT_CRASHES = 3;
-/** A task takes its workers down at much the same age: one that has worked for so much longer did not do it. */
-const OUTLIVED_BY_MS = 2_500;
+const MAX_CHARGED_STARTS = 2;
+const CRASH_BUDGET = CRASHES_BEFORE_CHARGE + MAX_CHARGED_STARTS;
+/** Number of possible crashes from which a task is isolated from other runs that have just begun. */
+const MIN_SUSPECT_CRASHES = 3;
+/**
+ * A crashing task crashes its workers at about the same age. If a run has survived a loss's maximum age by this much, the
+ * task did not cause that crash.
+ */
+const CRASH_AGE_TOLERANCE_MS = 2_500;
 
 const NONE: CrashCounts = { knownCrashes: 0, crashBudgetUsed: 0 };
 
+/** Creates a history from the stored counts. */
 export function createCrashHistory(stored = NONE): CrashHistory {
     return { stored, losses: [], chargedStarts: 0, isStartCharged: false, longestRunMs: 0 };
 }
 
-/** `isPlaced`: a run is under way, whose start may have been counted when it was placed. */
+/** Restores the history of a stored task; `isPlaced` if it has a run whose start may be charged in the stored counts. */
 export function restoreCrashHistory(stored: CrashCounts, isPlaced: boolean): CrashHistory {
     const crashBudgetUsed = stored.crashBudgetUsed - 1;
     if (!isPlaced || crashBudgetUsed < CRASHES_BEFORE_CHARGE) {
@@ -76,49 +81,52 @@
     };
 }
 
-export function getCounts({ stored, losses, chargedStarts, longestRunMs: workedMs }: CrashHistory): CrashCounts {
-    const standing = losses.filter(loss => !loss.isDisproved && loss.mostAgeMs + OUTLIVED_BY_MS >= workedMs);
-    const crashes = stored.crashBudgetUsed + standing.length;
+/** Returns the current counts, without disproved losses and those that a later run has outlived. */
+export function getCounts({ stored, losses, chargedStarts, longestRunMs }: CrashHistory): CrashCounts {
+    const upheld = losses.filter(loss => !loss.isDisproved && loss.maxAgeMs + CRASH_AGE_TOLERANCE_MS >= longestRunMs);
+    const crashes = stored.crashBudgetUsed + upheld.length;
     return {
-        knownCrashes: standing.reduce((sum, loss) => sum + loss.certainty, stored.knownCrashes),
+        knownCrashes: upheld.reduce((sum, loss) => sum + loss.certainty, stored.knownCrashes),
         crashBudgetUsed: crashes > 0 ? crashes + chargedStarts : 0,
     };
 }
 
-/** The task is about to be started again. */
+/** Records a start of the task, and charges it if too many workers may have crashed. */
 export function recordStart(history: CrashHistory): void {
     history.isStartCharged = getCounts(history).crashBudgetUsed >= CRASHES_BEFORE_CHARGE;
     history.chargedStarts += Number(history.isStartCharged);
 }
 
-/** The current run has not begun, or is counted as lost in place of its start. */
+/** Refunds the charge of the current run's start: the run has not begun, or is counted as a loss instead. */
 export function refundStart(history: CrashHistory): void {
     history.chargedStarts -= Number(history.isStartCharged);
     history.isStartCharged = false;
 }
 
+/** Records that the current run was lost with its worker. */
 export function recordLoss(history: CrashHistory, loss: RunLoss): void {
     refundStart(history);
     history.losses.push(loss);
 }
 
-export function recordRunTime(history: CrashHistory, workedMs: number): void {
-    history.longestRunMs = Math.max(history.longestRunMs, workedMs);
+/** Records for how long a run of the task was observed, in milliseconds. */
+export function recordRunTime(history: CrashHistory, longestRunMs: number): void {
+    history.longestRunMs = Math.max(history.longestRunMs, longestRunMs);
 }
 
-/** Whether a worker may have crashed under the task. */
+/** Whether a run of the task may have crashed its worker. */
 export function mayHaveCrashedWorker(history: CrashHistory): boolean {
     return getCounts(history).crashBudgetUsed > 0;
 }
 
-/** Whether the task is not started again: it is given up, or its latest loss is yet to be reviewed. */
+/** Whether the task must not be started again: it is given up, or the review of its latest loss is pending. */
 export function isCrashLimitReached(history: CrashHistory): boolean {
     const { knownCrashes, crashBudgetUsed } = getCounts(history);
-    return knownCrashes >= ENOUGH_CRASHES || crashBudgetUsed >= CRASH_BUDGET;
+    return knownCrashes >= KNOWN_CRASH_LIMIT || crashBudgetUsed >= CRASH_BUDGET;
 }
 
-/** Whether the task is started apart from others that have just begun. */
+/** Whether the task is isolated from other runs that have just begun. */
 export function isSuspect(history: CrashHistory): boolean {
     const { knownCrashes, crashBudgetUsed } = getCounts(history);
-    return knownCrashes >= Certainty.Certain || crashBudgetUsed >= SUSPECT_CRASHES;
+    return knownCrashes >= Certainty.Certain || crashBudgetUsed >= MIN_SUSPECT_CRASHES;
 }
--- a/src/leader/entries.ts
+++ b/src/leader/entries.ts
@@ -1,67 +1,74 @@
-/** The leader's view in memory of jobs, occurrences, steps, tasks and workers. */
+/** The leader's in-memory model of jobs, occurrences, steps, tasks and workers. */
 import type * as catalog from "../catalog/index";
 import * as decisions from "../decisions/index";
 import * as work from "../work/index";
 import * as crashHistory from "./crashHistory";
-import * as lives from "./incarnation";
+import * as incarnations from "./incarnation";
 
 /**
- * - waiting: on no worker.
- * - recording: a worker is chosen, and the row that says so is being written; no order has gone out.
- * - ordered: the order is under way.
- * - running: the worker has confirmed it.
- * - stopping: to be stopped, or settled where it is unknown whether it runs; its room counts until its end is seen.
- * - done: ended well; it may still be on its worker until the worker has listed that.
+ * - waiting: assigned to no worker.
+ * - recording: a worker is chosen and the row that names it is being written; no start order has been sent.
+ * - ordered: the start order has been sent and is not yet answered.
+ * - running: the worker has confirmed the run.
+ * - stopping: a stop is requested, or it is unknown whether the run exists. Its capacity stays reserved until its end is
+ *   confirmed.
+ * - done: completed successfully; the run may still occupy its worker until the worker has reported its end.
  */
 export type TaskPhase = "waiting" | "recording" | "ordered" | "running" | "stopping" | "done";
 
+/** A task and the state of its current run. */
 export interface TaskEntry {
     readonly name: string;
     readonly step: StepEntry;
     readonly index: number;
     run: number;
-    /** Runs that ended as failed; for a gang, the gang's. */
+    /** Number of failed runs; shared by all members of a gang. */
     failures: number;
     crashes: crashHistory.CrashHistory;
-    /** Where a stopped task goes on from; empty: from the start. */
+    /** Checkpoint from which the next run resumes; empty to begin anew. */
     saved: string;
-    /** When we learned of what it saved last. */
+    /** Monotonic time at which the leader learned of the latest checkpoint, in milliseconds. */
     savedAt: number;
     phase: TaskPhase;
     /** The worker that holds, or may hold, the task's current run. */
     worker: WorkerEntry | undefined;
-    /** When the current run was ordered, and when it was confirmed. */
+    /** Monotonic times at which the current run was ordered and confirmed, in milliseconds. */
     orderedAt: number;
     runningSince: number;
-    /** When its start was given up as unanswered; undefined while it is answered or under way. */
+    /** When the start order timed out without an answer; `undefined` if it was answered or is still in flight. */
     startTimedOutAt: number | undefined;
-    /** When the worker accepted the stop; undefined until then. */
+    /** When the worker accepted the stop order; `undefined` before that. */
     stopAcceptedAt: number | undefined;
     stopReason: string;
-    /** Latest progress in percent, and when it last rose. */
+    /** Latest progress in percent, and when it last increased. */
     percent: number;
     lastProgressAt: number;
-    /** When its worker last told of its progress. */
+    /** When its worker last reported the run as running. */
     lastReportAt: number;
-    /** An earlier leader ordered the current run: when it began is not known. */
+    /** Whether an earlier leader ordered the current run, so that its start time is unknown. */
     inherited: boolean;
-    /** How fast the current run goes. */
+    /** Measured speed of the current run. */
     speed: decisions.SpeedHistory;
-    /** How often it was stopped because it made no progress. */
+    /** Number of stops for lack of progress. */
     stalls: number;
-    /** How often it was stopped for urgent work. */
+    /** Number of preemptions by more urgent work. */
     preemptions: number;
-    /** Worker's rough figure for the last half second: a serving task's tail in milliseconds, else processor use. */
+    /**
+     * The worker's rough measurement over the last half second: the tail latency of a latency-sensitive task in milliseconds,
+     * otherwise processor use.
+     */
     recentFigure: number;
-    /** Share of its speed at which the task was last told to work; `undefined` where an earlier leader told it. */
+    /** Percentage of full speed to which the task was last throttled; `undefined` if an earlier leader set it. */
     pacePercent: number | undefined;
-    /** Workers on which a run failed. */
+    /** Ids of workers on which a run of the task failed. */
     readonly failedOn: Set<string>;
+    /** Monotonic time since which the task waits for a worker, in milliseconds. */
     waitingSince: number;
-    /** Not started before: it was stopped for urgent work, which would soon take its room again. */
+    /** The task is not restarted before this time: more urgent work would soon preempt it again. */
     backoffUntil: number;
 }
 
+/** A step of an occurrence, with its tasks. */
 export interface StepEntry {
     readonly occurrence: OccurrenceEntry;
     readonly number: number;
@@ -69,30 +76,32 @@
     readonly needs: work.Resources;
     readonly tasks: TaskEntry[];
     doneCount: number;
-    /** Latest run of a gang that was counted as failed: its other members' ends must not count again. */
+    /** Latest gang run that was counted as failed, so that the other members' ends are not counted again. */
     lastFailedRun: number;
-    /** Workers that were set aside since the step failed there as soon as it began. */
+    /** Ids of workers that were quarantined because the step failed there right after its start. */
     readonly earlyFailureWorkers: Set<string>;
-    /** Since when the step may start: its earlier steps are done. */
+    /** When all steps that it depends on were done; `undefined` while the step may not start. */
     readySince: number | undefined;
-    /** Tickets of the adviser by worker, each with the time until which it holds. */
+    /** The adviser's tickets by worker id, each with its expiry time. */
     readonly tickets: Map<string, { readonly ticket: string; readonly until: number; }>;
 }
 
+/** One occurrence of a job; a job that is not scheduled has a single one. */
 export interface OccurrenceEntry {
     readonly job: JobEntry;
     readonly number: number;
     readonly steps: StepEntry[];
-    /** Version of the stored row; 0: none yet. */
+    /** Version of the stored row; 0 if none is stored yet. */
     rowVersion: number;
-    /** When it is due on the wall clock, for scheduled jobs. */
+    /** Wall-clock time at which the occurrence of a scheduled job is due, in milliseconds. */
     readonly dueAt: number | undefined;
     isEnded: boolean;
 }
 
+/** A job and its occurrences. */
 export interface JobEntry {
     readonly submission: work.Submission;
-    /** As configured when this leader learned of the job. */
+    /** The queue as configured when this leader learned of the job. */
     queue: catalog.Queue;
     state: work.JobState;
     cancelled: boolean;
@@ -101,12 +110,13 @@
     readonly occurrences: Map<number, OccurrenceEntry>;
     rowVersion: number;
     endedAt: number;
-    /** Milliseconds on the monotonic clock at which the leader took note of the job. */
+    /** Monotonic time at which the leader learned of the job, in milliseconds. */
     readonly learnedAt: number;
 }
 
+/** What a worker reports of itself in the directory. */
 export interface WorkerInfo {
-    /** Of one life of the worker, see `life.ts`. */
+    /** Id of one incarnation of the worker, see `incarnation.ts`. */
     readonly id: string;
     readonly address: string;
     readonly zone: string;
@@ -115,42 +125,46 @@
     readonly labels: readonly string[];
     readonly capacity: work.Resources;
     readonly draining: boolean;
-    /** While draining: the least time that is left. */
+    /** Minimum time until the worker leaves while it is draining, in milliseconds. */
     readonly remainingMs: number;
 }
 
+/** One incarnation of a worker, as the leader knows it. */
 export interface WorkerEntry {
-    /** Of one life of the worker: nothing here outlives it. */
+    /** Id of one incarnation of the worker. The entry ends with that incarnation. */
     readonly id: string;
-    readonly incarnation: lives.Incarnation;
+    readonly incarnation: incarnations.Incarnation;
     info: WorkerInfo;
-    /** After this time it said of itself what `info` says; `undefined`: it is not listed. */
+    /** Lower bound of the time at which the worker reported `info`; `undefined` if it has not been listed. */
     reportedAt: number | undefined;
-    /** Whether the directory still lists it. */
+    /** Whether the directory lists the worker. */
     listed: boolean;
-    /** Whether it answered the latest look, and under our fencing token. */
+    /** Whether it answered the latest poll and accepted this leader's fencing token. */
     reachable: boolean;
-    /** When it answered last, if it has not answered since; `undefined` while it answers or has not been asked. */
+    /** Time of the last answer of an unreachable worker; `undefined` while it is reachable or has not been polled. */
     unreachableSince: number | undefined;
     lastAnswerAt: number | undefined;
-    /** When a connection to it first broke or was refused since it answered last; `undefined`: none was. */
+    /** When a connection first broke or was refused since the last answer; `undefined` if none was. */
     disconnectedAt: number | undefined;
-    /** No new task before this time. */
+    /** The worker gets no new task before this time. */
     quarantinedUntil: number;
-    /** To be emptied for its machine's upkeep. */
+    /** Whether the worker is to be drained for the maintenance of its machine. */
     reserved: boolean;
-    /** When the directory first said that it drains. */
+    /** When the directory first listed the worker as draining. */
     drainingSince: number | undefined;
     readonly tasks: Set<TaskEntry>;
     readonly used: decisions.MutableResources;
-    /** Tasks that run there without our knowledge; none is started until they are gone. */
+    /** Number of runs on the worker that the job registry does not hold; no task is started there until they have ended. */
     unknownRunCount: number;
-    /** Starts that got no answer, by task: the run of each. They may be carried out late, also by the next life. */
+    /**
+     * Runs by task name whose start orders got no answer. They may still be carried out, even by the next incarnation.
+     */
     readonly unconfirmedStarts: Map<string, number>;
-    /** Consecutive failed runs without a success; more for those that failed as soon as they began. */
+    /** Failed runs since the last success; a failure right after the start raises it to the quarantine threshold. */
     consecutiveFailures: number;
 }
 
+/** Creates a queued job without occurrences; `now` is monotonic time in milliseconds. */
 export function createJobEntry(submission: work.Submission, queue: catalog.Queue, now: number): JobEntry {
     return {
         submission,
@@ -166,6 +180,7 @@
     };
 }
 
+/** Creates an occurrence whose tasks all wait. */
 export function createOccurrenceEntry(job: JobEntry, number: number, now: number): OccurrenceEntry {
     const occurrence: OccurrenceEntry = {
         job,
@@ -229,10 +244,11 @@
     };
 }
 
+/** Creates the entry of a listed worker that has not been polled. */
 export function createWorkerEntry(info: WorkerInfo): WorkerEntry {
     return {
         id: info.id,
-        incarnation: lives.parseIncarnationId(info.id),
+        incarnation: incarnations.parseIncarnationId(info.id),
         info,
         reportedAt: undefined,
         listed: true,
@@ -251,14 +267,14 @@
     };
 }
 
-/** Puts the task's current run on the worker: its room is taken from here on. */
+/** Assigns the task's current run to the worker and reserves its capacity there. */
 export function assign(task: TaskEntry, worker: WorkerEntry): void {
     task.worker = worker;
     worker.tasks.add(task);
     decisions.addResources(worker.used, task.step.needs);
 }
 
-/** The task's run is over, or never was: its room is free. */
+/** Removes the task's run from its worker and releases its capacity. */
 export function unassign(task: TaskEntry): void {
     const worker = task.worker;
     if (!worker) {
@@ -269,11 +285,12 @@
     decisions.subtractResources(worker.used, task.step.needs);
 }
 
+/** Whether all tasks of the step are done. */
 export function isStepDone(step: StepEntry): boolean {
     return step.doneCount === step.tasks.length;
 }
 
-/** A worker of which only the id is known. */
+/** Returns the info of a worker of which only the id is known. */
 export function createUnknownWorkerInfo(id: string): WorkerInfo {
     return {
         id,
@@ -288,32 +305,32 @@
     };
 }
 
-/** A lasting task is at work once its start is over, which its worker tells as 100 percent. */
+/** Whether a lasting task is available: its worker reports 100 percent once its start-up has completed. */
 export function isAvailable(task: TaskEntry): boolean {
     return task.phase === "running" && task.percent >= AVAILABLE_PERCENT;
 }
 
 const AVAILABLE_PERCENT = 100;
 
-/** Tasks of a lasting step that are not at work, whatever the cause. */
+/** Counts the tasks of a lasting step that are unavailable for any reason. */
 export function countUnavailable(step: StepEntry): number {
     return step.tasks.filter(task => !isAvailable(task)).length;
 }
 
-/** When the current run began, for what is known: a start without an answer may have been carried out when ordered. */
+/** Latest known start time of the current run. A start without an answer may have taken effect when it was ordered. */
 export function getStartedAt(task: TaskEntry): number {
     return Math.max(task.orderedAt, task.runningSince);
 }
 
-/** For how long, from the start of the current run, its worker has told of it; 0: it never did. */
+/** Time from the start of the current run to its worker's latest report of it, in milliseconds; 0 without a report. */
 export function getObservedMs(task: TaskEntry): number {
     return Math.max(0, task.lastReportAt - getStartedAt(task));
 }
 
-/** Takes note of whether the worker has answered a look. */
-export function setReachable(worker: WorkerEntry, heard: boolean, now: number): void {
-    worker.reachable = heard;
-    if (heard) {
+/** Records whether the worker has answered a poll. */
+export function setReachable(worker: WorkerEntry, isReachable: boolean, now: number): void {
+    worker.reachable = isReachable;
+    if (isReachable) {
         worker.lastAnswerAt = now;
         worker.unreachableSince = undefined;
         worker.disconnectedAt = undefined;
@@ -323,10 +340,10 @@
     }
 }
 
-/** Why a run is stopped that its worker does not list any more. */
+/** Reason for stopping a run that its worker no longer lists. */
 export const MISSING_RUN_REASON = "missing";
 
-/** Whether nothing of the run is there any more, as far as is known, and its worker is only to refuse a late start. */
+/** Whether the run is gone as far as is known, and is stopped only so that its worker refuses a delayed start order. */
 export function isClosing(task: TaskEntry): boolean {
     return task.phase === "stopping" && task.stopReason === MISSING_RUN_REASON;
 }
--- a/src/leader/failingWorkers.ts
+++ b/src/leader/failingWorkers.ts
@@ -1,28 +1,27 @@
 /**
- * How much failed runs speak against the worker on which they ran.
+ * Detects workers on which runs fail, and quarantines them.
  *
- * What goes wrong without the early ones: a worker that fails all it starts is free again at once, so on a full site it
- * is the first to be given the next unit, and the retry of what it failed finds another such worker. One notices urgent
- * jobs that end as failed within half a second, their attempts used up. A sound worker's runs fail at any point of their
- * duration, so few of them fail as soon as they begin.
+ * Runs that fail right after their start count most. A worker that fails everything it starts is free again at once, so
+ * on a full site it gets the next unit first, and urgent jobs use up their attempts within half a second. On a healthy
+ * worker runs fail at any point of their duration, so few of them fail early.
  */
 import type * as decisions from "../decisions/index";
 import type * as observe from "../observe/index";
 import type * as entries from "./entries";
 
-/** In this share of its expected duration a run fails early. */
-const EARLY_SHARE = 0.05;
-/** The way to the worker and back, and what a loaded leader takes to read the answer. */
-const LEAST_EARLY_MS = 100;
+/** A failure within this share of the expected duration counts as early. */
+const EARLY_FAILURE_SHARE = 0.05;
+/** Covers the round trip to the worker and the time that a loaded leader takes to read the answer. */
+const MIN_EARLY_FAILURE_MS = 100;
 /**
- * A step that fails early on more workers, and on more than this share of its tasks that run, is not held against them:
- * it may be the step that can never be done, and each of its tasks would set another worker aside.
+ * A step may quarantine this many workers, or as many as this share of its running tasks. Beyond that the step itself is
+ * probably at fault, and each of its tasks would quarantine another worker.
  */
-const LEAST_BLAMED_BY_STEP = 2;
-const BLAMED_SHARE = 0.2;
-/** Failures in a row, on different tasks, after which a worker is set aside; 2% of sound runs fail. */
-const SUSPECT_FAILURES = 2;
-const SUSPECT_ASIDE_MS = 5_000;
+const MIN_QUARANTINES_PER_STEP = 2;
+const QUARANTINE_SHARE = 0.2;
+/** Consecutive failures after which a worker is quarantined; 2% of healthy runs fail. */
+const QUARANTINE_FAILURES = 2;
+const QUARANTINE_MS = 5_000;
 
 export interface FailingWorkerOptions {
     readonly now: number;
@@ -30,39 +29,42 @@
     readonly log: observe.Log;
 }
 
-/** Takes note of a failed run; `expectedMs` is what it was expected to take. */
+/** Records a failed run against its worker; `expectedMs` is the expected duration of the run. */
 export function recordFailedRun(
     worker: entries.WorkerEntry,
     task: entries.TaskEntry,
     expectedMs: number,
-    { now, disabledMechanisms: leftOut }: Omit<FailingWorkerOptions, "log">,
+    { now, disabledMechanisms }: Omit<FailingWorkerOptions, "log">,
 ): void {
     const { step } = task;
     const ranMs = now - Math.max(task.orderedAt, task.runningSince);
-    if (leftOut.has("earlyFailures") || ranMs > Math.max(LEAST_EARLY_MS, EARLY_SHARE * expectedMs)) {
+    if (
+        disabledMechanisms.has("earlyFailures")
+        || ranMs > Math.max(MIN_EARLY_FAILURE_MS, EARLY_FAILURE_SHARE * expectedMs)
+    ) {
         worker.consecutiveFailures++;
         return;
     }
-    if (step.earlyFailureWorkers.size < getMostBlamed(step)) {
+    if (step.earlyFailureWorkers.size < getMaxQuarantines(step)) {
         step.earlyFailureWorkers.add(worker.id);
-        worker.consecutiveFailures = SUSPECT_FAILURES;
+        worker.consecutiveFailures = QUARANTINE_FAILURES;
     }
 }
 
-function getMostBlamed({ tasks }: entries.StepEntry): number {
+function getMaxQuarantines({ tasks }: entries.StepEntry): number {
     const running = tasks.filter(task => task.phase === "running").length;
-    return Math.max(LEAST_BLAMED_BY_STEP, BLAMED_SHARE * running);
+    return Math.max(MIN_QUARANTINES_PER_STEP, QUARANTINE_SHARE * running);
 }
 
-/** Sets aside a worker that is to blame. */
+/** Quarantines the worker if its failures have reached the threshold. */
 export function quarantineIfFailing(
     worker: entries.WorkerEntry,
-    { now, disabledMechanisms: leftOut, log }: FailingWorkerOptions,
+    { now, disabledMechanisms, log }: FailingWorkerOptions,
 ): void {
-    if (worker.consecutiveFailures < SUSPECT_FAILURES || leftOut.has("failingWorkers")) {
+    if (worker.consecutiveFailures < QUARANTINE_FAILURES || disabledMechanisms.has("failingWorkers")) {
         return;
     }
     worker.consecutiveFailures = 0;
-    worker.quarantinedUntil = now + SUSPECT_ASIDE_MS;
+    worker.quarantinedUntil = now + QUARANTINE_MS;
     log.warn("workerSuspect", { worker: worker.id, reason: "failures" });
 }
--- a/src/leader/lostRuns.ts
+++ b/src/leader/lostRuns.ts
@@ -1,94 +1,98 @@
-/** The runs that are lost with a worker, and what is known of how they came to their end. */
+/** Lists the runs that are lost with a worker, and decides how certainly each has crashed it. */
 import * as crashHistory from "./crashHistory";
 import * as entries from "./entries";
 import * as suspects from "./suspects";
 
-/** Estimates are rough: a run may be over after this share of its expected time. */
-const LEAST_DURATION_SHARE = 0.9;
-/** A lasting task that was at work for this long has proved itself. */
-const PROVEN_MS = 60_000;
+/** Estimates are rough: a run may have ended after this share of its expected duration. */
+const MIN_DURATION_SHARE = 0.9;
+/** A lasting task that was observed running for this long is not suspected of crashing its worker. */
+const MIN_PROVEN_MS = 60_000;
 const DONE_PERCENT = 100;
 
+/** A run that was lost with its worker. */
 export interface LostRun {
     readonly task: entries.TaskEntry;
-    /** Ordered by this leader, and had just begun. */
-    readonly isFresh: boolean;
-    /** Its worker has told this leader of it. */
+    /** Whether it was ordered by this leader and had just begun. */
+    readonly isRecent: boolean;
+    /** Whether its worker has confirmed it to this leader. */
     readonly isConfirmed: boolean;
-    /** It cannot have ended before its worker's life was over. */
-    readonly wasThere: boolean;
-    /** How old it was at most when its worker's life was over; `Infinity` where that is not known. */
-    readonly mostAgeMs: number;
+    /** Whether it cannot have ended before its worker's incarnation ended. */
+    readonly wasRunning: boolean;
+    /** Maximum age of the run when its worker's incarnation ended, in milliseconds; `Infinity` if unknown. */
+    readonly maxAgeMs: number;
     readonly isSuspect: boolean;
-    /** Lasting, and was at work for so long that a crash says nothing of it. */
+    /** Whether it is a lasting task that ran for so long that it is not suspected. */
     readonly isProven: boolean;
 }
 
 export interface ListOptions {
-    /** When another life of the worker was known to be there; `undefined`: none is. */
+    /** When another incarnation of the worker was first known; `undefined` if there is none. */
     readonly successorSeenAt?: number;
-    /** The worker has started again under its name, so it may have taken a start that is still without an answer. */
+    /** Whether the worker has restarted under its name, so that it may have received a start without an answer. */
     readonly hasNextIncarnation?: boolean;
-    /** How long a run of the step's tasks is expected to take. */
+    /** Expected duration of a run of the step's tasks, in milliseconds. */
     estimateRunMs(step: entries.StepEntry): number;
 }
 
-/** Those that may have been on the worker when it was lost. */
+/** Lists the runs that may have been on the worker when it was lost. */
 export function listLostRuns(worker: entries.WorkerEntry, options: ListOptions): LostRun[] {
     const {
-        successorSeenAt: succeededAt = Infinity,
-        hasNextIncarnation: hasNextLife = false,
-        estimateRunMs: expectRun,
+        successorSeenAt: successorSeenAt = Infinity,
+        hasNextIncarnation: hasNextIncarnation = false,
+        estimateRunMs,
     } = options;
-    return [...worker.tasks].filter(task => mayHaveRun(task, hasNextLife)).map(task => {
-        const overBy = getOverBy(task, worker, succeededAt);
+    return [...worker.tasks].filter(task => mayHaveRun(task, hasNextIncarnation)).map(task => {
+        const endedBy = getEndedBy(task, worker, successorSeenAt);
         return {
             task,
-            isFresh: !task.inherited && entries.getObservedMs(task) < suspects.SETTLED_MS,
+            isRecent: !task.inherited && entries.getObservedMs(task) < suspects.SETTLED_MS,
             isConfirmed: isConfirmed(task),
-            wasThere: overBy - getKnownAt(task) < getLeastRemainingMs(task, expectRun(task.step)),
-            mostAgeMs: task.inherited ? Infinity : overBy - task.orderedAt,
+            wasRunning: endedBy - getLastKnownAt(task) < getMinRemainingMs(task, estimateRunMs(task.step)),
+            maxAgeMs: task.inherited ? Infinity : endedBy - task.orderedAt,
             isSuspect: crashHistory.isSuspect(task.crashes),
-            isProven: task.step.spec.lasting && entries.getObservedMs(task) >= PROVEN_MS,
+            isProven: task.step.spec.lasting && entries.getObservedMs(task) >= MIN_PROVEN_MS,
         };
     });
 }
 
-/** When the worker's life was over at the latest. A connection that broke says so unless the run was heard of later. */
-function getOverBy(
+/**
+ * Returns the latest time at which the worker's incarnation can have ended. A broken connection gives that time unless the
+ * run was reported later.
+ */
+function getEndedBy(
     task: entries.TaskEntry,
-    { disconnectedAt: brokenOffAt }: entries.WorkerEntry,
-    succeededAt: number,
+    { disconnectedAt }: entries.WorkerEntry,
+    successorSeenAt: number,
 ): number {
-    const isBrokenOff = brokenOffAt !== undefined && brokenOffAt >= getKnownAt(task);
-    return isBrokenOff && succeededAt !== Infinity ? brokenOffAt : succeededAt;
+    const isDisconnected = disconnectedAt !== undefined && disconnectedAt >= getLastKnownAt(task);
+    return isDisconnected && successorSeenAt !== Infinity ? disconnectedAt : successorSeenAt;
 }
 
 function isConfirmed(task: entries.TaskEntry): boolean {
     return task.phase !== "ordered" && task.runningSince >= task.orderedAt && !task.inherited;
 }
 
-/** When the run was last known to be there. */
-function getKnownAt(task: entries.TaskEntry): number {
+/** Returns when the run was last known to exist on its worker. */
+function getLastKnownAt(task: entries.TaskEntry): number {
     return Math.max(task.runningSince, task.lastReportAt);
 }
 
-function getLeastRemainingMs({ percent, step }: entries.TaskEntry, expectedMs: number): number {
-    return step.spec.lasting ? Infinity : expectedMs * (LEAST_DURATION_SHARE - percent / DONE_PERCENT);
+function getMinRemainingMs({ percent, step }: entries.TaskEntry, expectedMs: number): number {
+    return step.spec.lasting ? Infinity : expectedMs * (MIN_DURATION_SHARE - percent / DONE_PERCENT);
 }
 
 /**
- * Not a run that its worker no longer listed, nor a start that is without an answer when another worker answers at the
- * address: it was sent to that one, which did not take it.
+ * Whether the run may have been on the worker. Excluded are runs that the worker no longer listed, and starts in flight
+ * when another worker answers at the address: that one received the order and refused it.
  */
-function mayHaveRun(task: entries.TaskEntry, hasNextLife: boolean): boolean {
+function mayHaveRun(task: entries.TaskEntry, hasNextIncarnation: boolean): boolean {
     switch (task.phase) {
         case "running":
             return true;
         case "stopping":
             return !entries.isClosing(task);
         case "ordered":
-            return hasNextLife || task.startTimedOutAt !== undefined;
+            return hasNextIncarnation || task.startTimedOutAt !== undefined;
         case "waiting":
         case "recording":
         case "done":
@@ -96,44 +100,49 @@
     }
 }
 
+/** Returns the jobs whose runs had just begun. */
 export function getRecentJobs(runs: readonly LostRun[]): ReadonlySet<entries.JobEntry> {
-    return new Set(runs.filter(run => run.isFresh).map(run => run.task.step.occurrence.job));
+    return new Set(runs.filter(run => run.isRecent).map(run => run.task.step.occurrence.job));
 }
 
-/** What is known of the worker that was lost with the runs. */
+/** Circumstances of the loss of a worker. */
 export interface LossCircumstances {
     readonly recentJobs: ReadonlySet<entries.JobEntry>;
-    /** It was about to be taken away. */
+    /** Whether the worker was draining or reserved for maintenance. */
     readonly wasLeaving: boolean;
-    /** Another life of it has answered. */
+    /** Whether another incarnation has answered. */
     readonly restarted: boolean;
-    /** Workers were lost at the same time, and not to the same job. */
+    /** Whether other workers, without a recent run of the same jobs, became unreachable at the same time. */
     readonly wereOthersUnreachable: boolean;
     readonly didRackRestart: boolean;
 }
 
+/**
+ * Decides for each lost run how certain it is that it has crashed the worker. Suspect runs that had just begun are held
+ * responsible first, otherwise all runs that had just begun.
+ */
 export function attributeCrashes(
     runs: readonly LostRun[],
     {
-        recentJobs: freshJobs,
-        wasLeaving: leaves,
+        recentJobs,
+        wasLeaving,
         restarted,
-        wereOthersUnreachable: areOthersSilent,
-        didRackRestart: isRackBack,
+        wereOthersUnreachable,
+        didRackRestart,
     }: LossCircumstances,
 ): ReadonlyMap<LostRun, crashHistory.Certainty> {
     const { Certainty } = crashHistory;
-    const fresh = runs.filter(run => run.isFresh);
-    const suspected = fresh.filter(run => run.isSuspect);
-    const blamed = suspected.length > 0 ? suspected : fresh;
-    const blamedJobs = suspected.length > 0 ? getRecentJobs(suspected) : freshJobs;
-    const hasCrashed = restarted && !leaves && !isRackBack;
-    const isClear = hasCrashed && !areOthersSilent && blamedJobs.size === 1;
-    const judge = (run: LostRun): crashHistory.Certainty => {
+    const recent = runs.filter(run => run.isRecent);
+    const suspected = recent.filter(run => run.isSuspect);
+    const candidates = suspected.length > 0 ? suspected : recent;
+    const candidateJobs = suspected.length > 0 ? getRecentJobs(suspected) : recentJobs;
+    const hasCrashed = restarted && !wasLeaving && !didRackRestart;
+    const isUnambiguous = hasCrashed && !wereOthersUnreachable && candidateJobs.size === 1;
+    const getCertainty = (run: LostRun): crashHistory.Certainty => {
         if (!hasCrashed || !run.isConfirmed) {
             return Certainty.None;
         }
-        return isClear && run.wasThere && blamed.includes(run) ? Certainty.Certain : Certainty.Likely;
+        return isUnambiguous && run.wasRunning && candidates.includes(run) ? Certainty.Certain : Certainty.Likely;
     };
-    return new Map(runs.map(run => [run, judge(run)]));
+    return new Map(runs.map(run => [run, getCertainty(run)]));
 }
--- a/src/leader/reachabilityCheck.ts
+++ b/src/leader/reachabilityCheck.ts
@@ -1,8 +1,8 @@
 /**
- * The look at a worker before a task whose earlier runs were lost is placed there.
+ * Checks that a worker is reachable before a task that may have crashed earlier workers is placed there.
  *
- * A row that names the worker is stored before the order goes out. If the worker turns out to be down, and the leader is
- * lost before it has stored that it sent nothing, the next leader finds a run that was lost with its worker.
+ * The row that names the worker is stored before the start order is sent. If the worker is down and the leader fails
+ * before it has stored that no order was sent, the next leader counts one more run as lost with its worker.
  */
 import type * as clock from "../clock/index";
 import type * as observe from "../observe/index";
@@ -10,9 +10,9 @@
 import type * as entries from "./entries";
 import type * as workerSession from "./workerSession";
 
-/** Storing the row takes a few milliseconds; members of a gang are looked at together. */
-const PLACING_SILENCE_MS = 300;
-/** A worker that was unwell or out of reach gets no new task for this long. */
+/** Maximum age of the last answer. Storing the row takes a few milliseconds; members of a gang are polled together. */
+const MAX_PLACEMENT_SILENCE_MS = 300;
+/** Quarantine of a worker that was overloaded or unreachable. */
 export const UNREACHABLE_QUARANTINE_MS = 1_500;
 
 export interface ReachabilityCheckOptions {
@@ -20,27 +20,27 @@
     readonly log: observe.Log;
     readonly signal: AbortSignal;
     getSession(worker: entries.WorkerEntry): workerSession.WorkerSession | undefined;
-    /** A worker has answered, or is set aside. */
+    /** Called when a worker has answered or was quarantined. */
     onChanged(): void;
 }
 
 export interface ReachabilityCheck {
-    /** Whether the tasks may be placed on these workers now; if not, those in question are looked at. */
+    /** Whether the tasks may be placed on these workers now; if not, polls the workers without a recent answer. */
     mayPlace(tasks: readonly entries.TaskEntry[], workers: readonly entries.WorkerEntry[]): boolean;
 }
 
 export function createReachabilityCheck(options: ReachabilityCheckOptions): ReachabilityCheck {
     const { clock: time, log } = options;
-    const lookedAt = new Set<entries.WorkerEntry>();
+    const polling = new Set<entries.WorkerEntry>();
 
-    const look = async (worker: entries.WorkerEntry) => {
+    const poll = async (worker: entries.WorkerEntry) => {
         const session = options.getSession(worker);
-        if (!session || lookedAt.has(worker)) {
+        if (!session || polling.has(worker)) {
             return;
         }
-        lookedAt.add(worker);
-        const answers = await session.ensureReachable(PLACING_SILENCE_MS);
-        lookedAt.delete(worker);
+        polling.add(worker);
+        const answers = await session.ensureReachable(MAX_PLACEMENT_SILENCE_MS);
+        polling.delete(worker);
         if (options.signal.aborted) {
             return;
         }
@@ -50,16 +50,16 @@
         }
         options.onChanged();
     };
-    const isSilent = (worker: entries.WorkerEntry) =>
-        options.getSession(worker)?.hasAnsweredWithin(PLACING_SILENCE_MS) !== true;
+    const lacksRecentAnswer = (worker: entries.WorkerEntry) =>
+        options.getSession(worker)?.hasAnsweredWithin(MAX_PLACEMENT_SILENCE_MS) !== true;
     return {
         mayPlace: (tasks, workers) => {
             if (!tasks.some(task => crashHistory.mayHaveCrashedWorker(task.crashes))) {
                 return true;
             }
-            const silent = [...new Set(workers)].filter(isSilent);
-            silent.forEach(worker => void look(worker));
-            return silent.length === 0;
+            const unconfirmed = [...new Set(workers)].filter(lacksRecentAnswer);
+            unconfirmed.forEach(worker => void poll(worker));
+            return unconfirmed.length === 0;
         },
     };
 }
