--- a/src/leader/__tests__/initialPollLimiter.test.ts
+++ b/src/leader/__tests__/initialPollLimiter.test.ts
@@ -1,70 +1,70 @@
-// Symptom: on a site of 3,000 workers a new leader starts nothing for seconds, and loses its lease to the next one.
-// Sequence: a takeover, and looks at all workers in one go. Cause: writing them takes seconds, in which neither the
-// lease is renewed nor an answer read, and workers on which something runs had no turn before the idle ones.
+// Guards against a new leader that starts nothing for seconds and loses its lease: after a takeover on a site of 3,000
+// workers, sending all first polls at once blocks lease renewals and the reading of answers, and polls of idle workers
+// delay those of workers with tasks.
 import * as clocks from "../../clock/index";
-import * as firstLooks from "../initialPollLimiter";
+import * as initialPollLimiter from "../initialPollLimiter";
 
-const { PollPriority: Turn } = firstLooks;
-const MOST = 32;
+const { PollPriority } = initialPollLimiter;
+const LIMIT = 32;
 
-function createLooks(mostUnderWay?: number) {
+function createLimiter(maxInFlight?: number) {
     const time = clocks.createManualClock();
-    const looks = firstLooks.createInitialPollLimiter(time, mostUnderWay);
-    const begun: string[] = [];
-    const leaves = new Map<string, () => void>();
-    const enter = (name: string, turn: firstLooks.PollPriority) =>
-        void looks.acquire(turn).then(leave => {
-            begun.push(name);
-            leaves.set(name, leave);
+    const limiter = initialPollLimiter.createInitialPollLimiter(time, maxInFlight);
+    const admitted: string[] = [];
+    const releases = new Map<string, () => void>();
+    const acquire = (name: string, priority: initialPollLimiter.PollPriority) =>
+        void limiter.acquire(priority).then(release => {
+            admitted.push(name);
+            releases.set(name, release);
         });
-    return { time, begun, enter, leave: (name: string) => leaves.get(name)!() };
+    return { time, admitted, acquire, release: (name: string) => releases.get(name)!() };
 }
 
 function names(prefix: string, count: number): string[] {
     return Array.from({ length: count }, (_, number) => `${prefix}${number}`);
 }
 
-describe("first looks", () => {
-    test("workers on which something runs come first, those that were silent last", async () => {
-        const { time, begun, enter } = createLooks();
-        enter("silent", Turn.Retry);
-        enter("idle-1", Turn.Idle);
-        enter("busy", Turn.Busy);
-        enter("idle-2", Turn.Idle);
+describe("first polls", () => {
+    test("workers with tasks are polled first, workers that did not answer before last", async () => {
+        const { time, admitted, acquire } = createLimiter();
+        acquire("silent", PollPriority.Retry);
+        acquire("idle-1", PollPriority.Idle);
+        acquire("busy", PollPriority.Busy);
+        acquire("idle-2", PollPriority.Idle);
         await time.advance(1);
-        expect(begun).toEqual(["busy", "idle-1", "idle-2", "silent"]);
+        expect(admitted).toEqual(["busy", "idle-1", "idle-2", "silent"]);
     });
 
-    test("without turns all are under way at once", async () => {
-        const { time, begun, enter } = createLooks(Infinity);
-        names("w", 3 * MOST).forEach(name => enter(name, Turn.Idle));
+    test("without a limit all polls are in flight at once", async () => {
+        const { time, admitted, acquire } = createLimiter(Infinity);
+        names("w", 3 * LIMIT).forEach(name => acquire(name, PollPriority.Idle));
         await time.advance(1);
-        expect(begun).toHaveLength(3 * MOST);
+        expect(admitted).toHaveLength(3 * LIMIT);
     });
 
-    test("no more than a few are under way, and each answer lets the next one go", async () => {
-        const { time, begun, enter, leave } = createLooks();
-        names("w", 100).forEach(name => enter(name, Turn.Idle));
+    test("the number in flight is limited, and each answer admits one more", async () => {
+        const { time, admitted, acquire, release } = createLimiter();
+        names("w", 100).forEach(name => acquire(name, PollPriority.Idle));
         await time.advance(1);
-        expect(begun).toEqual(names("w", MOST));
-        leave("w3");
-        leave("w3");
+        expect(admitted).toEqual(names("w", LIMIT));
+        release("w3");
+        release("w3");
         await time.advance(1);
-        expect(begun).toEqual(names("w", MOST + 1));
+        expect(admitted).toEqual(names("w", LIMIT + 1));
     });
 
-    test("workers that do not answer keep the others waiting for a tenth of a second", async () => {
-        const { time, begun, enter, leave } = createLooks();
-        names("silent", MOST).forEach(name => enter(name, Turn.Idle));
-        enter("live", Turn.Idle);
+    test("polls without an answer hold their slots for 100 ms", async () => {
+        const { time, admitted, acquire, release } = createLimiter();
+        names("silent", LIMIT).forEach(name => acquire(name, PollPriority.Idle));
+        acquire("live", PollPriority.Idle);
         await time.advance(90);
-        expect(begun).not.toContain("live");
+        expect(admitted).not.toContain("live");
         await time.advance(20);
-        expect(begun).toContain("live");
-        // Their late ends give no second turn away.
-        names("silent", MOST).forEach(leave);
-        names("next", 100).forEach(name => enter(name, Turn.Idle));
+        expect(admitted).toContain("live");
+        // A late release must not free the slot a second time.
+        names("silent", LIMIT).forEach(release);
+        names("next", 100).forEach(name => acquire(name, PollPriority.Idle));
         await time.advance(1);
-        expect(begun.filter(name => name.startsWith("next"))).toHaveLength(MOST - 1);
+        expect(admitted.filter(name => name.startsWith("next"))).toHaveLength(LIMIT - 1);
     });
 });
--- a/src/leader/incarnation.ts
+++ b/src/leader/incarnation.ts
@@ -1,12 +1,14 @@
 /**
- * The identity of a worker's life. A worker may start again under its name: the next life knows nothing of the one
- * before, and its ends, its clock and its fencing token begin anew. Whatever is known of a worker is known of one life.
+ * Identifies the incarnations of a worker. A worker may restart under its name: the next incarnation knows nothing of the
+ * one before, and its end numbers, its clock and its fencing token start anew. So everything that is known of a worker
+ * holds for one incarnation.
  */
 
+/** One incarnation of a worker. */
 export interface Incarnation {
-    /** Of the worker; outlives its lives, and is what calls to the worker are addressed to. */
+    /** Name of the worker, common to all its incarnations; calls to the worker are addressed to it. */
     readonly name: string;
-    /** Unix time in milliseconds; 0 where the worker does not tell. */
+    /** Unix time of the start in milliseconds; 0 if the worker does not report it. */
     readonly startedAt: number;
 }
 
@@ -14,29 +16,31 @@
 const RADIX = 36;
 const INCARNATION_ID_PATTERN = /^(.+)@([0-9a-z]+)$/;
 
-/** Unique to the life; the worker's name where it does not tell when it was born. */
-export function getIncarnationId({ name, startedAt: bornAt }: Incarnation): string {
-    return bornAt === 0 ? name : `${name}${SEPARATOR}${bornAt.toString(RADIX)}`;
+/** Returns a unique id of the incarnation, or the worker's name if it does not report its start time. */
+export function getIncarnationId({ name, startedAt }: Incarnation): string {
+    return startedAt === 0 ? name : `${name}${SEPARATOR}${startedAt.toString(RADIX)}`;
 }
 
+/** Inverse of `getIncarnationId`; an id without a start time stands for the worker's name. */
 export function parseIncarnationId(id: string): Incarnation {
-    const [, name, born] = INCARNATION_ID_PATTERN.exec(id) ?? [];
-    return name === undefined ? { name: id, startedAt: 0 } : { name, startedAt: parseInt(born!, RADIX) };
+    const [, name, encodedStart] = INCARNATION_ID_PATTERN.exec(id) ?? [];
+    return name === undefined ? { name: id, startedAt: 0 } : { name, startedAt: parseInt(encodedStart!, RADIX) };
 }
 
-/** The newest life of each worker that any source has told of: the directory, an answer, or a stored row. */
+/** The latest known incarnation of each worker, from the directory, answers and stored rows. */
 export interface LatestIncarnations {
-    /** Takes note of a life; returns the newest one known, which is another where this one is over. */
-    record(life: Incarnation): Incarnation;
+    /** Records an incarnation and returns the latest one known of that worker. */
+    record(incarnation: Incarnation): Incarnation;
 }
 
+/** Creates an empty record. */
 export function createLatestIncarnations(): LatestIncarnations {
-    const bornAts = new Map<string, number>();
+    const startedAtByName = new Map<string, number>();
     return {
-        record: ({ name, startedAt: bornAt }) => {
-            const newest = Math.max(bornAt, bornAts.get(name) ?? 0);
-            bornAts.set(name, newest);
-            return { name, startedAt: newest };
+        record: ({ name, startedAt }) => {
+            const latest = Math.max(startedAt, startedAtByName.get(name) ?? 0);
+            startedAtByName.set(name, latest);
+            return { name, startedAt: latest };
         },
     };
 }
--- a/src/leader/initialPollLimiter.ts
+++ b/src/leader/initialPollLimiter.ts
@@ -1,70 +1,69 @@
 /**
- * The turns in which a new leader looks at its workers for the first time.
+ * Limits the concurrency of a new leader's first polls and orders them by priority.
  *
- * What goes wrong without them: looks at thousands of workers go out in one go. Writing them takes a weak machine
- * seconds, in which it renews no lease; answers wait longer than a look is waited for; and the workers on which
- * something runs come last as often as first. One notices leaders that follow each other on a large site, or seconds
- * without a start after a takeover.
- *
- * So only a few looks are under way at a time, first at workers on which something may run, last at those that have
- * not answered before. Each look is written between other work, so the lease is renewed meanwhile.
+ * Polling thousands of workers at once takes a slow machine seconds, in which it renews no lease and answers time out. On
+ * a large site leaders would then depose each other, or start nothing for seconds after a takeover. So only a few polls
+ * are in flight: first of workers that may have tasks, last of those that have not answered before. The lease
+ * is renewed between them.
  */
 import type * as clock from "../clock/index";
 
+/** Grants slots for first polls. */
 export interface InitialPollLimiter {
-    /** Resolves when the look may go out, with what has to be called once it was answered, or was not. */
-    acquire(turn: PollPriority): Promise<() => void>;
+    /** Resolves when the poll may be sent; the returned function must be called once it was answered or has failed. */
+    acquire(priority: PollPriority): Promise<() => void>;
 }
 
-/** Lower goes first. */
+/** Priorities of first polls; the lowest value goes first. */
 export const PollPriority = { Busy: 0, Idle: 1, Retry: 2 } as const;
 export type PollPriority = typeof PollPriority[keyof typeof PollPriority];
 
-/** A look costs about a millisecond here and one on the way, so that many keep both ends at work. */
-const MOST_UNDER_WAY = 32;
-/** A silent worker keeps the others waiting no longer: a live one answers within some 10 ms. */
-const LONGEST_TURN_MS = 100;
+/** A poll takes about a millisecond of processing and one of transit, so this many keep both ends busy. */
+const MAX_IN_FLIGHT = 32;
+/** An unreachable worker holds its slot no longer than this; a reachable one answers within about 10 ms. */
+const MAX_SLOT_MS = 100;
 
-export function createInitialPollLimiter(time: clock.Clock, mostUnderWay = MOST_UNDER_WAY): InitialPollLimiter {
+/** Creates a limiter that admits `maxInFlight` polls at a time. */
+export function createInitialPollLimiter(time: clock.Clock, maxInFlight = MAX_IN_FLIGHT): InitialPollLimiter {
     const waiting: ReadonlyArray<Array<() => void>> = [[], [], []];
-    let underWay = 0;
-    let admitting = false;
+    let inFlight = 0;
+    let isAdmissionPending = false;
 
     const admit = () => {
-        admitting = false;
-        while (underWay < mostUnderWay) {
+        isAdmissionPending = false;
+        while (inFlight < maxInFlight) {
             const next = waiting.find(queue => queue.length > 0)?.shift();
             if (!next) {
                 return;
             }
-            underWay++;
+            inFlight++;
             next();
         }
     };
-    /** Later, so that whoever enters in the same moment is put in order first. */
+    /** Admits in a later task, so that polls requested in the same task are sorted by priority first. */
     const admitSoon = () => {
-        if (!admitting) {
-            admitting = true;
+        if (!isAdmissionPending) {
+            isAdmissionPending = true;
             time.setTimer(0, admit);
         }
     };
-    const begin = () => {
-        let over = false;
-        const leave = () => {
-            if (!over) {
-                over = true;
+    const occupySlot = () => {
+        let isReleased = false;
+        const release = () => {
+            if (!isReleased) {
+                isReleased = true;
                 cancel();
-                underWay--;
+                inFlight--;
                 admitSoon();
             }
         };
-        const cancel = time.setTimer(LONGEST_TURN_MS, leave);
-        return leave;
+        const cancel = time.setTimer(MAX_SLOT_MS, release);
+        return release;
     };
     return {
-        acquire: turn =>
+        acquire: priority =>
             new Promise(resolve => {
-                waiting[turn]!.push(() => resolve(begin()));
+                waiting[priority]!.push(() => resolve(occupySlot()));
                 admitSoon();
             }),
     };
--- a/src/leader/slowWorkers.ts
+++ b/src/leader/slowWorkers.ts
@@ -1,21 +1,22 @@
-/** After a look: finds out whether the worker has turned slow, and moves what is better off elsewhere. */
+/** Detects from the progress of its tasks that a worker has become slow, and stops tasks that finish sooner elsewhere. */
 import * as decisions from "../decisions/index";
 import type * as observe from "../observe/index";
 import type * as entries from "./entries";
-import type * as book from "./jobRegistry";
+import type * as jobRegistry from "./jobRegistry";
 import * as units from "./units";
 
-/** A slow worker gets no new task until it has not been seen slow for this long. */
-const SLOW_ASIDE_MS = 2_000;
+/** Quarantine of a slow worker, counted from the last time it was found slow. */
+const SLOW_QUARANTINE_MS = 2_000;
 
 export interface SlowWorkerOptions {
     readonly now: number;
-    readonly jobRegistry: book.JobRegistry;
+    readonly jobRegistry: jobRegistry.JobRegistry;
     readonly log: observe.Log;
     readonly disabledMechanisms: ReadonlySet<decisions.Mechanism>;
     getUrgency(step: entries.StepEntry): decisions.Urgency;
 }
 
+/** Quarantines the worker if it is slow, and requests stops of its tasks that are better moved. */
 export function handleSlowWorker(worker: entries.WorkerEntry, options: SlowWorkerOptions): void {
     const running = [...worker.tasks].filter(task => task.phase === "running" && !task.step.spec.lasting);
     const slowdowns = running.flatMap(task => decisions.getSlowdown(task.speed) ?? []);
@@ -29,7 +30,7 @@
         });
     }
     if (!options.disabledMechanisms.has("slowWorkers")) {
-        worker.quarantinedUntil = Math.max(worker.quarantinedUntil, options.now + SLOW_ASIDE_MS);
+        worker.quarantinedUntil = Math.max(worker.quarantinedUntil, options.now + SLOW_QUARANTINE_MS);
     }
     if (options.disabledMechanisms.has("slowMoves")) {
         return;
@@ -46,7 +47,7 @@
     }
 }
 
-/** A gang moves as a whole, and saves as a whole. */
+/** Whether moving the task pays; a gang is moved as a whole and takes its checkpoints as a whole. */
 function paysToMove(task: entries.TaskEntry, times: decisions.MoveTimes, options: SlowWorkerOptions): boolean {
     const { step } = task;
     if (step.spec.checkpoints) {
--- a/src/leader/suspects.ts
+++ b/src/leader/suspects.ts
@@ -1,18 +1,18 @@
-/** How tasks are started that may take their workers down. */
+/** Rules for starting tasks that may crash their worker. */
 import * as crashHistory from "./crashHistory";
 import * as entries from "./entries";
 
-/** A worker that is to start a task whose earlier runs were lost has answered no longer ago than this. */
+/** Maximum age of a worker's last answer when a task that may have crashed earlier workers is started on it. */
 export const MAX_SUSPECT_START_SILENCE_MS = 100;
-/** A run that its worker has told of for this long has settled in. */
+/** A run that its worker has reported for this long counts as settled. */
 export const SETTLED_MS = 1_000;
 
-/** Whether the task's run has been ordered and has not settled in yet. */
+/** Whether the task has a run that is placed or running and not yet settled. */
 export function isUnsettled(task: entries.TaskEntry): boolean {
-    return isUnderWay(task) && entries.getObservedMs(task) < SETTLED_MS;
+    return isActive(task) && entries.getObservedMs(task) < SETTLED_MS;
 }
 
-/** Whether something has just begun there that may take the worker down. */
+/** Whether a task that may crash the worker has just begun there. */
 export function hasUnsettledSuspect(worker: entries.WorkerEntry): boolean {
     for (const task of worker.tasks) {
         if (isUnsettled(task) && crashHistory.isSuspect(task.crashes)) {
@@ -22,6 +22,6 @@
     return false;
 }
 
-function isUnderWay({ phase }: entries.TaskEntry): boolean {
+function isActive({ phase }: entries.TaskEntry): boolean {
     return phase === "recording" || phase === "ordered" || phase === "running";
 }
--- a/src/leader/taskWatchdog.ts
+++ b/src/leader/taskWatchdog.ts
@@ -1,79 +1,81 @@
-/** Tasks that cannot go on where they are: on workers that leave, that are lost, or that make no progress. */
+/** Stops tasks that cannot complete where they are: on workers that leave or are lost, or without progress. */
 import type * as clock from "../clock/index";
 import type * as decisions from "../decisions/index";
 import type * as observe from "../observe/index";
 import type * as entries from "./entries";
-import * as blame from "./failingWorkers";
+import * as failingWorkers from "./failingWorkers";
 import type * as heldLease from "./heldLease";
-import type * as book from "./jobRegistry";
-import * as lapse from "./leaseExpiry";
+import type * as jobRegistry from "./jobRegistry";
+import * as leaseExpiry from "./leaseExpiry";
 import * as suspects from "./suspects";
 import type * as units from "./units";
 
-/** What a stop and the noting of its end take at most, before the worker leaves. */
+/** Upper bound of the time that a stop and the recording of its end take, before the worker leaves. */
 const LEAVE_MARGIN_MS = 700;
 /**
- * A task hangs when its worker tells no progress for this share of its expected duration. Progress comes in whole
- * percent, so a sound task rises at least once in a hundredth of its duration; this bound leaves room for work that is
- * fifteen times slower than expected.
+ * A task hangs if its worker reports no progress for this share of its expected duration. Progress is in whole percent, so
+ * a healthy task advances at least once per hundredth of its duration; this bound tolerates work that is fifteen times
+ * slower than expected.
  */
-const HANG_SHARE = 0.15;
-/** Of short tasks: two looks, which come every second as a rule, and what their answers are late. */
-const LEAST_HANG_MS = 1_500;
+const HANG_TIMEOUT_SHARE = 0.15;
+/** Minimum for short tasks: two polls, usually one second apart, and the delay of their answers. */
+const MIN_HANG_TIMEOUT_MS = 1_500;
 /**
- * With each stop for want of progress the task is given twice the time: one whose estimate is far too short makes
- * progress that does not show in time, and would be stopped without end.
+ * Each stop for lack of progress doubles the timeout. A task whose estimate is far too short would otherwise be stopped
+ * again and again before its progress shows.
  */
-const STALL_FACTOR = 2;
-/** A worker with a hanging task gets no other for this long. */
-const HANG_ASIDE_MS = 6_000;
-/** While fillers run beside serving tasks, their figures are needed this often. */
-const SHARING_WAIT_MS = 700;
+const STALL_BACKOFF_FACTOR = 2;
+/** Quarantine of a worker with a hanging task. */
+const HANG_QUARANTINE_MS = 6_000;
+/** Maximum poll wait while best-effort tasks run beside latency-sensitive tasks, whose measurements are needed this often. */
+const SHARING_POLL_WAIT_MS = 700;
 
-/** Nothing else starts on a worker until what may take it down has settled in there. */
-const SETTLING_WAIT_MS = 300;
+/** Maximum poll wait while a suspect task is unsettled, since nothing else starts on the worker until it has settled. */
+const SETTLING_POLL_WAIT_MS = 300;
 
-export function getPollWaitMs(worker: entries.WorkerEntry, longestMs: number): number {
-    let serving = false;
-    let filling = false;
+/** Returns how long a poll of the worker may wait, at most `maxMs`. */
+export function getPollWaitMs(worker: entries.WorkerEntry, maxMs: number): number {
+    let hasLatencySensitive = false;
+    let hasBestEffort = false;
     for (const task of worker.tasks) {
-        serving ||= task.step.spec.targetMs > 0;
-        filling ||= task.step.spec.fills;
+        hasLatencySensitive ||= task.step.spec.targetMs > 0;
+        hasBestEffort ||= task.step.spec.fills;
     }
     if (suspects.hasUnsettledSuspect(worker)) {
-        return SETTLING_WAIT_MS;
+        return SETTLING_POLL_WAIT_MS;
     }
-    return serving && filling ? SHARING_WAIT_MS : longestMs;
+    return hasLatencySensitive && hasBestEffort ? SHARING_POLL_WAIT_MS : maxMs;
 }
 
-/** A worker that nobody can reach: what ran there is gone when the last lease that anyone granted has run out. */
+/** Reports the tasks of an unreachable worker as lost once the last lease that any leader granted it has expired. */
 export function markLostAfterExpiry(
     worker: entries.WorkerEntry,
     options: {
         readonly clock: clock.Clock;
         readonly leadership: heldLease.Leadership;
         readonly maxLeaseMs: number;
-        readonly jobRegistry: Pick<book.JobRegistry, "loseTasksOf">;
+        readonly jobRegistry: Pick<jobRegistry.JobRegistry, "loseTasksOf">;
     },
 ): void {
-    if (options.clock.now() > lapse.getExpiresAt(options.leadership.predecessorsInactiveAt, options.maxLeaseMs)) {
+    if (options.clock.now() > leaseExpiry.getExpiresAt(options.leadership.predecessorsInactiveAt, options.maxLeaseMs)) {
         options.jobRegistry.loseTasksOf(worker, "lapsed");
     }
 }
 
+/** Requests stops of tasks that hang or that would outlive their worker, and quarantines failing workers. */
 export function stopUnviableTasks(
     workers: readonly entries.WorkerEntry[],
     options: {
         readonly now: number;
         readonly expect: units.RunTimeEstimator;
-        readonly jobRegistry: book.JobRegistry;
+        readonly jobRegistry: jobRegistry.JobRegistry;
         readonly log: observe.Log;
         readonly disabledMechanisms: ReadonlySet<decisions.Mechanism>;
     },
 ): void {
     const { disabledMechanisms } = options;
     for (const worker of workers) {
-        blame.quarantineIfFailing(worker, options);
+        failingWorkers.quarantineIfFailing(worker, options);
         for (const task of worker.tasks) {
             if (task.phase !== "running" || !worker.reachable) {
                 continue;
@@ -85,7 +87,7 @@
             }
             else if (!disabledMechanisms.has("hangingTasks") && hangs(task, options.expect)) {
                 task.stalls++;
-                worker.quarantinedUntil = options.now + HANG_ASIDE_MS;
+                worker.quarantinedUntil = options.now + HANG_QUARANTINE_MS;
                 options.log.warn("workerSuspect", { worker: worker.id, reason: "no progress", task: task.name });
                 options.jobRegistry.requestStop(task, "noProgress");
             }
@@ -98,17 +100,18 @@
     if (step.spec.lasting || waitsForOthers(task)) {
         return false;
     }
-    // A gang begins to work when its last member has started.
-    const together = step.spec.gang ? step.tasks : [task];
-    const since = together.reduce((latest, member) => Math.max(latest, member.runningSince), task.lastProgressAt);
-    const patienceMs = Math.max(LEAST_HANG_MS, HANG_SHARE * expect(step)) * STALL_FACTOR ** task.stalls;
-    // Counted up to what the worker last told: a late look is no sign that a task stands still.
-    return task.lastReportAt - since > patienceMs;
+    // A gang makes progress only once its last member has started.
+    const members = step.spec.gang ? step.tasks : [task];
+    const since = members.reduce((latest, member) => Math.max(latest, member.runningSince), task.lastProgressAt);
+    const timeoutMs = Math.max(MIN_HANG_TIMEOUT_MS, HANG_TIMEOUT_SHARE * expect(step))
+        * STALL_BACKOFF_FACTOR ** task.stalls;
+    // Measured up to the worker's last report: a late poll is no sign of a hanging task.
+    return task.lastReportAt - since > timeoutMs;
 }
 
 /**
- * Members of a gang end together, so one on a fast worker stands at 100 percent until the slowest is there, as long as
- * all of them run. Taken to hang, gangs are stopped again and again on sound workers.
+ * Whether the task has finished its share of a gang and waits for slower members. Gang members end together, so without
+ * this rule gangs on healthy workers would be stopped as hanging again and again.
  */
 function waitsForOthers(task: entries.TaskEntry): boolean {
     const { step } = task;
@@ -119,7 +122,7 @@
 
 const DONE_PERCENT = 100;
 
-/** Whether the task ends before its worker leaves; one that saves may stay until shortly before that. */
+/** Whether the task ends before its worker leaves; one that takes checkpoints may stay until shortly before that. */
 function endsInTime(
     task: entries.TaskEntry,
     worker: entries.WorkerEntry,
--- a/src/leader/workerLosses.ts
+++ b/src/leader/workerLosses.ts
@@ -1,4 +1,4 @@
-/** What becomes of the runs that are lost with their worker: they begin anew, or their task is given up. */
+/** Handles the loss of a worker: its tasks are requeued, moved to the next incarnation, or given up. */
 import type * as clock from "../clock/index";
 import type * as observe from "../observe/index";
 import * as crashes from "./crashAttribution";
@@ -10,42 +10,47 @@
     readonly clock: clock.Clock;
     readonly log: observe.Log;
     readonly meter: observe.Meter;
-    /** Of the term. */
+    /** Aborted when the term ends. */
     readonly signal: AbortSignal;
     getWorkers(): Iterable<entries.WorkerEntry>;
-    /** How long a run of the step's tasks is expected to take. */
+    /** Expected duration of a run of the step's tasks, in milliseconds. */
     estimateRunMs(step: entries.StepEntry): number;
+    /** Counts the unsaved work of the run as thrown away. */
     countThrownAway(task: entries.TaskEntry, cause: string): void;
+    /** Returns the task to the waiting ones. */
     requeue(task: entries.TaskEntry): void;
+    /** Stops the other members of the task's gang, if it has one. */
     stopOtherMembers(task: entries.TaskEntry, reason: string): void;
-    /** The task is now `stopping`: its run must be stopped and settled. */
+    /** The task is now `stopping`: its run must be stopped and its end confirmed. */
     onStopRequested(task: entries.TaskEntry): void;
-    /** Its occurrence ends as failed. */
+    /** Ends the task's occurrence as failed. */
     failOccurrence(task: entries.TaskEntry): void;
     onOccurrenceChanged(occurrence: entries.OccurrenceEntry): void;
 }
 
-/** Why the worker counts as lost: another life has answered, or its leases ran out in silence. */
+/** Why the worker counts as lost: another incarnation has answered, or its leases expired while it was unreachable. */
 export type LossReason = "otherLife" | "lapsed";
 
-/** The life that has followed under the worker's name, and may have got starts that were meant for the one before. */
+/** The next incarnation of a worker, which may have received start orders that were meant for the one before. */
 export interface NextIncarnation {
     readonly worker: entries.WorkerEntry;
-    /** What it has told, if it has answered. */
+    /** Its first answer to a poll; `undefined` if it has not answered. */
     readonly pollResult: workerSession.PollResult | undefined;
 }
 
 export interface WorkerLosses {
+    /** Handles all tasks of a lost worker. */
     loseTasksOf(worker: entries.WorkerEntry, reason: LossReason, next?: NextIncarnation): void;
-    /** Gives the task up, unless it runs, if too many workers have crashed under it. */
+    /** Gives the task up if it is not running and has reached its crash limit. */
     enforceCrashLimit(task: entries.TaskEntry): void;
     readonly crashAttribution: crashes.CrashAttribution;
 }
 
+/** Creates the handling of lost workers for one term. */
 export function createWorkerLosses(options: WorkerLossesOptions): WorkerLosses {
     const { clock: time, log, meter } = options;
 
-    const judge = (task: entries.TaskEntry) => {
+    const enforceCrashLimit = (task: entries.TaskEntry) => {
         if (
             !crashHistory.isCrashLimitReached(task.crashes) || task.worker || task.phase === "done"
             || task.step.occurrence.isEnded
@@ -60,7 +65,7 @@
         });
         options.failOccurrence(task);
     };
-    const crashJudge = crashes.createCrashAttribution({
+    const crashAttribution = crashes.createCrashAttribution({
         clock: time,
         getWorkers: options.getWorkers,
         estimateRunMs: options.estimateRunMs,
@@ -72,10 +77,10 @@
                 log.info("lossReviewed", { task: task.name, ...crashHistory.getCounts(task.crashes) });
                 options.onOccurrenceChanged(task.step.occurrence);
             }
-            judge(task);
+            enforceCrashLimit(task);
         },
     });
-    const tell = (task: entries.TaskEntry, worker: entries.WorkerEntry, reason: LossReason) => {
+    const logLostRun = (task: entries.TaskEntry, worker: entries.WorkerEntry, reason: LossReason) => {
         meter.increment("runs_lost_total", { queue: task.step.occurrence.job.queue.name, reason });
         log.info("runLost", {
             task: task.name,
@@ -89,7 +94,7 @@
             ...crashHistory.getCounts(task.crashes),
         });
     };
-    const moveTo = (next: entries.WorkerEntry, task: entries.TaskEntry) => {
+    const moveToIncarnation = (next: entries.WorkerEntry, task: entries.TaskEntry) => {
         entries.unassign(task);
         entries.assign(task, next);
         options.onOccurrenceChanged(task.step.occurrence);
@@ -98,17 +103,20 @@
             options.onStopRequested(task);
         }
     };
-    /** After a stop the next life refuses the run, however late its start comes; only then is the task free again. */
-    const settleOn = (next: entries.WorkerEntry, task: entries.TaskEntry) => {
+    /**
+     * Stops the run on the next incarnation, which then refuses a start order that arrives late. The task is not requeued
+     * before that.
+     */
+    const stopOnIncarnation = (next: entries.WorkerEntry, task: entries.TaskEntry) => {
         task.phase = "stopping";
         task.stopReason = entries.MISSING_RUN_REASON;
-        moveTo(next, task);
+        moveToIncarnation(next, task);
     };
     /**
-     * `loss` is undefined for a run that cannot have taken the worker down; `next` is the life that its start may still
-     * reach.
+     * Handles the loss of one run. `loss` is `undefined` if the run cannot have crashed the worker; `next` is the
+     * incarnation that its start order may still reach.
      */
-    const lose = (
+    const handleLostRun = (
         task: entries.TaskEntry,
         worker: entries.WorkerEntry,
         reason: LossReason,
@@ -127,42 +135,42 @@
         }
         if (task.phase !== "recording" && !entries.isClosing(task)) {
             options.countThrownAway(task, reason);
-            tell(task, worker, reason);
+            logLostRun(task, worker, reason);
         }
         if (next) {
-            settleOn(next, task);
+            stopOnIncarnation(next, task);
             return;
         }
         options.requeue(task);
     };
     return {
-        crashAttribution: crashJudge,
-        enforceCrashLimit: judge,
+        crashAttribution,
+        enforceCrashLimit,
         loseTasksOf: (worker, reason, next) => {
             if (next?.pollResult) {
-                listTold(worker, next.pollResult).forEach(task => moveTo(next.worker, task));
+                listReportedTasks(worker, next.pollResult).forEach(task => moveToIncarnation(next.worker, task));
             }
             const lost = [...worker.tasks];
             if (lost.length > 0) {
                 log.warn("tasksLost", { worker: worker.id, reason, tasks: lost.length });
             }
-            const counted = crashJudge.attributeLoss(worker, {
+            const attributed = crashAttribution.attributeLoss(worker, {
                 restarted: reason === "otherLife",
                 hasNextIncarnation: next !== undefined,
             });
             for (const task of lost) {
-                const later = next && mayReachNextLife(task, next.pollResult) ? next.worker : undefined;
-                lose(task, worker, reason, counted.get(task), later);
+                const successor = next && mayReachNextIncarnation(task, next.pollResult) ? next.worker : undefined;
+                handleLostRun(task, worker, reason, attributed.get(task), successor);
             }
             lost.forEach(task => options.stopOtherMembers(task, "gang member lost"));
-            // The others are judged when their loss is reviewed.
-            lost.filter(task => !counted.has(task)).forEach(judge);
+            // The other tasks are checked when their loss is reviewed.
+            lost.filter(task => !attributed.has(task)).forEach(enforceCrashLimit);
         },
     };
 }
 
-/** Tasks of the worker of which a look's answer tells, as running or as ended. */
-function listTold(
+/** Lists the worker's tasks whose current run the poll result contains as running or ended. */
+function listReportedTasks(
     worker: entries.WorkerEntry,
     { running, ended }: workerSession.PollResult,
 ): readonly entries.TaskEntry[] {
@@ -171,10 +179,10 @@
 }
 
 /**
- * Whether the next life may still get the start of a run that it has not told of: the life before never told of it
- * either, nor was the start answered before the next life was asked.
+ * Whether the next incarnation may still receive the start order of a run that it does not list: the previous incarnation
+ * never reported the run, and the start order was not answered before the next incarnation was polled.
  */
-function mayReachNextLife(task: entries.TaskEntry, lists: workerSession.PollResult | undefined): boolean {
+function mayReachNextIncarnation(task: entries.TaskEntry, pollResult: workerSession.PollResult | undefined): boolean {
     switch (task.phase) {
         case "waiting":
         case "recording":
@@ -184,9 +192,9 @@
             return true;
         case "running":
         case "stopping": {
-            const isTold = task.lastReportAt >= entries.getStartedAt(task);
+            const isReported = task.lastReportAt >= entries.getStartedAt(task);
             const isAnswered = !task.inherited && task.runningSince >= task.orderedAt;
-            return !isTold && !(isAnswered && lists !== undefined && task.runningSince < lists.sentAt);
+            return !isReported && !(isAnswered && pollResult !== undefined && task.runningSince < pollResult.sentAt);
         }
     }
 }
