--- a/src/leader/__tests__/workerRegistry.test.ts
+++ b/src/leader/__tests__/workerRegistry.test.ts
@@ -22,13 +22,13 @@
     };
 }
 
-/** A registry with one task placed on the first life of the one worker. */
+/** Opens a registry with one worker, on whose first incarnation one task is placed. */
 function openRegistry() {
     const time = clocks.createManualClock();
     const stops: string[] = [];
-    const closed: string[] = [];
-    const looks: string[] = [];
-    const book = fixtures.createJobRegistry({
+    const closedRuns: string[] = [];
+    const polls: string[] = [];
+    const jobs = fixtures.createJobRegistry({
         getWorkers: () => registry.workers.values(),
         stopWanted: task => stops.push(task.worker!.id),
     });
@@ -37,34 +37,34 @@
         log: fixtures.LOG,
         leadership: fixtures.LEADERSHIP,
         maxLeaseMs: 6_000,
-        jobRegistry: book,
+        jobRegistry: jobs,
         filterKnownServices: listed => listed,
-        openSession: worker => createSession(() => looks.push(worker.id)),
-        closeRun: (worker, task, run) => closed.push(`${worker.id} ${task} ${run}`),
+        openSession: worker => createSession(() => polls.push(worker.id)),
+        closeRun: (worker, task, run) => closedRuns.push(`${worker.id} ${task} ${run}`),
         onChanged: () => undefined,
     });
     registry.applyDirectory([list(FIRST.startedAt)]);
     const first = registry.findCurrent(NAME)!;
-    const job = book.addJob(fixtures.createSubmission("job"));
-    book.releaseDueOccurrences();
+    const job = jobs.addJob(fixtures.createSubmission("job"));
+    jobs.releaseDueOccurrences();
     const task = job.occurrences.get(0)!.steps[0]!.tasks[0]!;
-    book.place([task], [first]);
-    return { time, book, registry, first, task, stops, closed, looks };
+    jobs.place([task], [first]);
+    return { time, jobs, registry, first, task, stops, closedRuns, polls };
 }
 
-function createSession(lookNow: () => void): workerSession.WorkerSession {
+function createSession(pollNow: () => void): workerSession.WorkerSession {
     return {
         hasAnsweredWithin: () => true,
         ensureReachable: async () => true,
         start: async () => ({ kind: "unwell" }),
         stop: async () => ({ kind: "unwell" }),
         pace: async () => ({ kind: "unwell" }),
-        pollNow: lookNow,
+        pollNow,
         close: () => undefined,
     };
 }
 
-function createLists(sentAt: number, fields: Partial<workerSession.PollResult> = {}): workerSession.PollResult {
+function createPollResult(sentAt: number, fields: Partial<workerSession.PollResult> = {}): workerSession.PollResult {
     return { sentAt, running: [], ended: [], isEndListComplete: true, ...fields };
 }
 
@@ -73,117 +73,119 @@
 
 interface Case {
     readonly name: string;
-    readonly put: Partial<entries.TaskEntry>;
-    readonly lists: workerSession.PollResult;
+    readonly initial: Partial<entries.TaskEntry>;
+    readonly pollResult: workerSession.PollResult;
     readonly phase: entries.TaskPhase;
-    readonly isOnNextLife: boolean;
+    readonly isOnNextIncarnation: boolean;
     readonly crashBudgetUsed: number;
 }
 
 const cases: readonly Case[] = [
     {
-        name: "that the first life told of is lost with it",
-        put: { phase: "running", orderedAt: 10, runningSince: 20, lastReportAt: 30 },
-        lists: createLists(100),
+        name: "that the first incarnation reported is lost with it",
+        initial: { phase: "running", orderedAt: 10, runningSince: 20, lastReportAt: 30 },
+        pollResult: createPollResult(100),
         phase: "waiting",
-        isOnNextLife: false,
+        isOnNextIncarnation: false,
         crashBudgetUsed: 1,
     },
     {
-        name: "that was confirmed before the next life was asked, and that it does not tell of, is lost with the first",
-        put: { phase: "running", orderedAt: 10, runningSince: 20 },
-        lists: createLists(100),
+        name:
+            "that was confirmed before the next incarnation was polled, and that it does not list, is lost with the first",
+        initial: { phase: "running", orderedAt: 10, runningSince: 20 },
+        pollResult: createPollResult(100),
         phase: "waiting",
-        isOnNextLife: false,
+        isOnNextIncarnation: false,
         crashBudgetUsed: 1,
     },
     {
-        name: "that was confirmed after the next life was asked is closed there first",
-        put: { phase: "running", orderedAt: 10, runningSince: 200 },
-        lists: createLists(100),
+        name: "that was confirmed after the next incarnation was polled is stopped there first",
+        initial: { phase: "running", orderedAt: 10, runningSince: 200 },
+        pollResult: createPollResult(100),
         phase: "stopping",
-        isOnNextLife: true,
+        isOnNextIncarnation: true,
         crashBudgetUsed: 1,
     },
     {
-        name: "that is without an answer is closed on the next life first",
-        put: { phase: "ordered", orderedAt: 1_000 },
-        lists: createLists(100),
+        name: "whose start got no answer is stopped on the next incarnation first",
+        initial: { phase: "ordered", orderedAt: 1_000 },
+        pollResult: createPollResult(100),
         phase: "stopping",
-        isOnNextLife: true,
+        isOnNextIncarnation: true,
         crashBudgetUsed: 1,
     },
     {
-        name: "that an earlier leader ordered is closed on the next life first",
-        put: { phase: "running", orderedAt: 10, runningSince: 20, inherited: true },
-        lists: createLists(100),
+        name: "that an earlier leader ordered is stopped on the next incarnation first",
+        initial: { phase: "running", orderedAt: 10, runningSince: 20, inherited: true },
+        pollResult: createPollResult(100),
         phase: "stopping",
-        isOnNextLife: true,
+        isOnNextIncarnation: true,
         crashBudgetUsed: 1,
     },
     {
-        name: "that the next life tells of goes on there",
-        put: { phase: "running", orderedAt: 10, runningSince: 20 },
-        lists: createLists(100, { running: [RUNNING] }),
+        name: "that the next incarnation lists continues there",
+        initial: { phase: "running", orderedAt: 10, runningSince: 20 },
+        pollResult: createPollResult(100, { running: [RUNNING] }),
         phase: "running",
-        isOnNextLife: true,
+        isOnNextIncarnation: true,
         crashBudgetUsed: 0,
     },
     {
-        name: "that has ended on the next life is looked for there",
-        put: { phase: "ordered", orderedAt: 10 },
-        lists: createLists(100, { ended: [ENDED] }),
+        name: "that has ended on the next incarnation is assigned to it",
+        initial: { phase: "ordered", orderedAt: 10 },
+        pollResult: createPollResult(100, { ended: [ENDED] }),
         phase: "ordered",
-        isOnNextLife: true,
+        isOnNextIncarnation: true,
         crashBudgetUsed: 0,
     },
     {
-        name: "whose order has not gone out waits again",
-        put: {},
-        lists: createLists(100),
+        name: "whose start order was not sent is requeued",
+        initial: {},
+        pollResult: createPollResult(100),
         phase: "waiting",
-        isOnNextLife: false,
+        isOnNextIncarnation: false,
         crashBudgetUsed: 0,
     },
 ];
 
-// Guards against a start that the next life carries out while its task runs elsewhere, and against crashes not counted.
-describe("when the next life of a worker answers, a run", () => {
-    test.each(cases)("$name", ({ put, lists, phase, isOnNextLife, crashBudgetUsed }) => {
+// Guards against a delayed start that the next incarnation carries out while the task runs elsewhere, and against crashes
+// that are not counted.
+describe("when the next incarnation of a worker answers, a run", () => {
+    test.each(cases)("$name", ({ initial, pollResult, phase, isOnNextIncarnation, crashBudgetUsed }) => {
         const { registry, first, task, stops } = openRegistry();
-        Object.assign(task, put);
-        registry.onNextIncarnation(first, SECOND, lists);
+        Object.assign(task, initial);
+        registry.onNextIncarnation(first, SECOND, pollResult);
         const next = registry.findCurrent(NAME)!;
         expect(next.incarnation).toEqual(SECOND);
         expect(task.phase).toBe(phase);
         expect(crashHistory.getCounts(task.crashes).crashBudgetUsed).toBe(crashBudgetUsed);
-        expect(task.worker === next).toBe(isOnNextLife);
+        expect(task.worker === next).toBe(isOnNextIncarnation);
         expect(stops).toEqual(phase === "stopping" ? [next.id] : []);
         expect([...registry.workers.keys()]).toEqual([next.id]);
     });
 });
 
-// Guards against an entry of the directory, or an answer, that brings an earlier life back.
-describe("which life is the present one", () => {
-    test("an entry that is behind an answer does not bring the earlier life back", () => {
+// Guards against stale directory entries and answers that restore an earlier incarnation.
+describe("the current incarnation", () => {
+    test("a directory entry older than an answer does not restore the earlier incarnation", () => {
         const { registry, first } = openRegistry();
-        registry.onNextIncarnation(first, SECOND, createLists(100));
+        registry.onNextIncarnation(first, SECOND, createPollResult(100));
         registry.applyDirectory([list(FIRST.startedAt)]);
         expect(registry.workers.has(first.id)).toBe(false);
         registry.applyDirectory([list(SECOND.startedAt)]);
         expect(registry.findCurrent(NAME)).toMatchObject({ incarnation: SECOND, listed: true });
     });
 
-    test("a life that the directory lists is not asked before the one before has told what became of its tasks", () => {
-        const { registry, first, looks } = openRegistry();
+    test("a newly listed incarnation is not polled before the previous one has answered for its tasks", () => {
+        const { registry, first, polls } = openRegistry();
         registry.applyDirectory([list(SECOND.startedAt)]);
-        expect(looks).toEqual([first.id]);
+        expect(polls).toEqual([first.id]);
         expect(registry.getSession(registry.findCurrent(NAME)!)).toBeUndefined();
-        registry.onNextIncarnation(first, SECOND, createLists(100));
+        registry.onNextIncarnation(first, SECOND, createPollResult(100));
         expect(registry.getSession(registry.findCurrent(NAME)!)).toBeDefined();
     });
 
-    test("a life that a stored row names is over once the directory lists a later one", () => {
+    test("an incarnation that a stored row names has ended once the directory lists a later one", () => {
         const { registry, first, task } = openRegistry();
         const inherited = registry.getWorker("v@rs");
         entries.unassign(task);
@@ -195,17 +197,18 @@
         expect(first.listed).toBe(true);
     });
 
-    test("an entry that does not tell is taken for the newest life known", () => {
+    test("an entry without a start time stands for the latest known incarnation", () => {
         const { registry, first } = openRegistry();
         registry.applyDirectory([list(0)]);
         expect(registry.findCurrent(NAME)).toBe(first);
     });
 });
 
-// Guards against a start that got no answer, and is carried out by the next life after its run was closed on the one before.
-test("a start that got no answer is closed on the next life too", () => {
-    const { registry, first, closed } = openRegistry();
+// Guards against a start without an answer that the next incarnation carries out, although the run was stopped on the
+// previous one.
+test("the run of a start that got no answer is stopped on the next incarnation too", () => {
+    const { registry, first, closedRuns } = openRegistry();
     first.unconfirmedStarts.set("other.0.0.0", 3);
-    registry.onNextIncarnation(first, SECOND, createLists(100));
-    expect(closed).toEqual([`${registry.findCurrent(NAME)!.id} other.0.0.0 3`]);
+    registry.onNextIncarnation(first, SECOND, createPollResult(100));
+    expect(closedRuns).toEqual([`${registry.findCurrent(NAME)!.id} other.0.0.0 3`]);
 });
--- a/src/leader/__tests__/workerSession.test.ts
+++ b/src/leader/__tests__/workerSession.test.ts
@@ -1,13 +1,13 @@
 import * as clocks from "../../clock/index";
-import * as firstLooks from "../initialPollLimiter";
-import * as lapse from "../leaseExpiry";
+import * as initialPollLimiter from "../initialPollLimiter";
+import * as leaseExpiry from "../leaseExpiry";
 import type * as port from "../workerPort";
 import * as workerSession from "../workerSession";
 import * as fixtures from "./fixtures";
 
 const MAX_LEASE_MS = 6_000;
 
-/** A session that nobody listens to, with what `options` say otherwise. */
+/** Creates a session whose callbacks do nothing, apart from the given options. */
 function createSession(
     time: clocks.Clock,
     options: Pick<workerSession.WorkerSessionOptions, "port"> & Partial<workerSession.WorkerSessionOptions>,
@@ -18,7 +18,7 @@
         clock: time,
         log: fixtures.LOG,
         leadership: fixtures.LEADERSHIP,
-        pollLimiter: firstLooks.createInitialPollLimiter(time),
+        pollLimiter: initialPollLimiter.createInitialPollLimiter(time),
         maxLeaseMs: MAX_LEASE_MS,
         isBusy: () => true,
         getPollWaitMs: () => 500,
@@ -32,7 +32,7 @@
     });
 }
 
-/** A session with a worker whose clock runs at that rate of ours, and the deadlines of the starts that it got. */
+/** Opens a session with a worker whose clock runs at the given rate; returns the deadlines of the starts that it got. */
 async function openSession(rate: number) {
     const time = clocks.createManualClock();
     const deadlines: number[] = [];
@@ -51,22 +51,23 @@
     return { time, session, deadlines, getWorkerClock };
 }
 
-// Guards against a start that is carried out after it counts as lapsed, since a slow clock made its deadline too late.
+// Guards against a start that is carried out after its lease counts as expired, because a slow clock made its deadline too
+// late.
 describe("a start sent after a long idle time", () => {
     const idle: readonly number[] = [0, 20_000, 3_600_000];
-    test.each(idle)("of %d ms has lapsed when we count on it, at a clock that is 2%% slow", async idleMs => {
+    test.each(idle)("of %d ms has expired when the leader expects it, with a clock that is 2%% slow", async idleMs => {
         const { time, session, deadlines, getWorkerClock } = await openSession(0.98);
         await time.advance(idleMs);
         const sentAt = time.now();
         void session.start({ task: "t", run: 1, payload: "", saved: "" });
         await time.advance(0);
-        await time.advance(lapse.getExpiresAt(sentAt, MAX_LEASE_MS) - sentAt);
+        await time.advance(leaseExpiry.getExpiresAt(sentAt, MAX_LEASE_MS) - sentAt);
         expect(deadlines).toHaveLength(1);
         expect(getWorkerClock()).toBeGreaterThan(deadlines[0]!);
         session.close();
     });
 
-    test("still has most of its lease at a clock that is right", async () => {
+    test("still has most of its lease with an exact clock", async () => {
         const { time, session, deadlines, getWorkerClock } = await openSession(1);
         await time.advance(10_000);
         void session.start({ task: "t", run: 1, payload: "", saved: "" });
@@ -76,89 +77,89 @@
     });
 });
 
-/** A session with a worker that a test ends and begins again; ends that a life has forgotten are in `forgotten`. */
+/** Opens a session with a worker that a test can restart; `forgotten` holds the ends that were acknowledged to it. */
 async function openRestartable() {
     const time = clocks.createManualClock();
-    const begin = (bornAt: number) => ({ bornAt, ends: [] as port.TaskEnd[], forgotten: [] as port.TaskEnd[] });
-    const worker = { life: begin(FIRST_BORN_AT) };
-    const nextLives: Array<{ bornAt: number; lists: workerSession.PollResult; }> = [];
+    const begin = (startedAt: number) => ({ startedAt, ends: [] as port.TaskEnd[], forgotten: [] as port.TaskEnd[] });
+    const worker = { incarnation: begin(FIRST_STARTED_AT) };
+    const nextIncarnations: Array<{ startedAt: number; pollResult: workerSession.PollResult; }> = [];
     const taken: port.TaskEnd[] = [];
     const accepted = async () => ({ kind: "accepted", workerClock: 1 + time.now() } as const);
     const session = createSession(time, {
-        incarnation: { name: "w", startedAt: FIRST_BORN_AT },
+        incarnation: { name: "w", startedAt: FIRST_STARTED_AT },
         port: {
             start: accepted,
             stop: accepted,
             pace: accepted,
             poll: async (_worker, { recordedUpTo, waitMs }) => {
-                const { life } = worker;
-                life.forgotten.push(...life.ends.filter(end => end.number <= recordedUpTo));
-                life.ends = life.ends.filter(end => end.number > recordedUpTo);
-                if (life.ends.length === 0) {
+                const { incarnation } = worker;
+                incarnation.forgotten.push(...incarnation.ends.filter(end => end.number <= recordedUpTo));
+                incarnation.ends = incarnation.ends.filter(end => end.number > recordedUpTo);
+                if (incarnation.ends.length === 0) {
                     await time.sleep(waitMs);
                 }
-                return life === worker.life
+                return incarnation === worker.incarnation
                     ? {
                         kind: "lists",
                         workerClock: 1 + time.now(),
-                        startedAt: life.bornAt,
+                        startedAt: incarnation.startedAt,
                         running: [],
-                        ended: life.ends,
+                        ended: incarnation.ends,
                     }
-                    : { kind: "unknown", message: "its life is over" };
+                    : { kind: "unknown", message: "restarted" };
             },
         },
         onPollResult: async ({ ended }) => void taken.push(...ended),
-        onNextIncarnation: ({ startedAt: bornAt }, lists) => nextLives.push({ bornAt, lists }),
+        onNextIncarnation: ({ startedAt }, pollResult) => nextIncarnations.push({ startedAt, pollResult }),
     });
-    const end = (number: number) => worker.life.ends.push({ number, task: "t", run: 1, how: "done", saved: "" });
+    const end = (number: number) => worker.incarnation.ends.push({ number, task: "t", run: 1, how: "done", saved: "" });
     const restart = () => {
-        worker.life = begin(FIRST_BORN_AT + time.now());
+        worker.incarnation = begin(FIRST_STARTED_AT + time.now());
     };
     await time.advance(100);
-    return { time, session, worker, taken, nextLives, end, restart };
+    return { time, session, worker, taken, nextIncarnations, end, restart };
 }
 
-const FIRST_BORN_AT = 1_000;
+const FIRST_STARTED_AT = 1_000;
 
-// Guards against an acknowledgement by number that meets the ends of the worker's next life.
+// Guards against an acknowledgement by number that reaches the next incarnation, whose end numbers start anew.
 describe("ends are acknowledged", () => {
-    test("to the life that listed them", async () => {
+    test("to the incarnation that listed them", async () => {
         const { time, session, worker, taken, end } = await openRestartable();
         end(1);
         await time.advance(1_500);
         expect(taken).toHaveLength(1);
-        expect(worker.life.forgotten).toHaveLength(1);
+        expect(worker.incarnation.forgotten).toHaveLength(1);
         session.close();
     });
 
     const pauses: readonly number[] = [0, 1, 50, 400, 600, 1_200];
-    test.each(pauses)("never to the next life, which gets a start and ends it %d ms later", async pauseMs => {
-        const { time, session, worker, taken, nextLives, end, restart } = await openRestartable();
+    test.each(pauses)("never to the next incarnation, which gets a start and ends it %d ms later", async pauseMs => {
+        const { time, session, worker, taken, nextIncarnations, end, restart } = await openRestartable();
         [1, 2, 3].forEach(end);
         await time.advance(600);
         restart();
-        const { life } = worker;
+        const { incarnation } = worker;
         void session.start({ task: "t", run: 2, payload: "", saved: "" });
         await time.advance(pauseMs);
         end(1);
         await time.advance(3_000);
         expect(taken).toHaveLength(3);
-        expect(life.forgotten).toEqual([]);
-        expect(nextLives).toMatchObject([{ bornAt: life.bornAt }]);
+        expect(incarnation.forgotten).toEqual([]);
+        expect(nextIncarnations).toMatchObject([{ startedAt: incarnation.startedAt }]);
         session.close();
     });
 });
 
-// Guards against a worker that is out of reach and counts as crashed, and against a crash that is known too late.
-describe("a look without an answer", () => {
+// Guards against an unreachable worker that counts as crashed, and against a crash that is detected too late.
+describe("a poll without an answer", () => {
     const cases: ReadonlyArray<readonly [name: string, failsAfterMs: number, isBrokenOff: boolean]> = [
-        ["whose connection breaks is told at once", 50, true],
-        ["that times out is not told", Infinity, false],
+        ["whose connection breaks is reported at once", 50, true],
+        ["that times out is not reported", Infinity, false],
     ];
     test.each(cases)("%s", async (_name, failsAfterMs, isBrokenOff) => {
         const time = clocks.createManualClock();
-        let brokenOff = 0;
+        let disconnections = 0;
         const refused = async () => ({ kind: "unreachable", message: "" } as const);
         const session = createSession(time, {
             port: {
@@ -170,10 +171,10 @@
                     return { kind: "unknown", message: "" };
                 },
             },
-            onDisconnected: () => brokenOff++,
+            onDisconnected: () => disconnections++,
         });
         await time.advance(1_000);
         session.close();
-        expect(brokenOff > 0).toBe(isBrokenOff);
+        expect(disconnections > 0).toBe(isBrokenOff);
     });
 });
--- a/src/leader/knownServices.ts
+++ b/src/leader/knownServices.ts
@@ -1,8 +1,8 @@
 /**
- * Leaves out workers of services that nobody has configured.
+ * Filters out workers of services that are not configured.
  *
- * What goes wrong without it: others write to the list of workers too, and an entry of a service that is not known costs
- * connections and looks, though no queue can ever use it. One notices looks at workers that never get a task.
+ * Other systems write to the directory too. An entry of an unknown service would cost connections and polls, though no
+ * queue can use the worker.
  */
 import type * as catalogs from "../catalog/index";
 import type * as observe from "../observe/index";
@@ -12,15 +12,15 @@
     readonly catalog: Pick<catalogs.CurrentCatalog, "get">;
     readonly log: observe.Log;
     readonly meter: observe.Meter;
-    /** Whether something may run there: its service may have been dropped from the configuration since. */
+    /** Whether the worker may have tasks: its service may have been removed from the configuration since their start. */
     isInUse(workerId: string): boolean;
 }
 
-/** Returns those of the listed workers that a queue may use. Before there is a configuration these are all. */
+/** Creates a filter that returns the listed workers that a queue may use; all of them without a configuration. */
 export function createServiceFilter(
     { catalog, log, meter, isInUse }: KnownServicesOptions,
 ): <T extends entries.WorkerInfo>(listed: readonly T[]) => readonly T[] {
-    let told: ReadonlySet<string> = new Set();
+    let reported: ReadonlySet<string> = new Set();
     return listed => {
         const services = catalog.get()?.services.map(service => service.name);
         if (!services) {
@@ -29,12 +29,12 @@
         const isKnown = (info: entries.WorkerInfo) => services.includes(info.service) || isInUse(info.id);
         const unknown = listed.filter(info => !isKnown(info));
         for (const info of unknown) {
-            if (!told.has(info.id)) {
+            if (!reported.has(info.id)) {
                 log.warn("workerOfUnknownService", { worker: info.id, service: info.service });
                 meter.increment("entries_unusable_total", { kind: "service" });
             }
         }
-        told = new Set(unknown.map(info => info.id));
+        reported = new Set(unknown.map(info => info.id));
         return unknown.length === 0 ? listed : listed.filter(isKnown);
     };
 }
--- a/src/leader/workerRegistry.ts
+++ b/src/leader/workerRegistry.ts
@@ -1,15 +1,16 @@
 /**
- * The workers that the leader knows, each by its life: from the directory, from stored rows, and from answers. Decides
- * which life of a worker is the present one, and hands over to it what may have reached it in place of the one before.
+ * The workers that the leader knows from the directory, stored rows and answers, one entry per incarnation. Decides which
+ * incarnation of a worker is the current one, and passes on to it the orders that may have reached it instead of its
+ * predecessor.
  */
 import type * as clock from "../clock/index";
 import type * as observe from "../observe/index";
 import type * as directory from "./directory";
 import * as entries from "./entries";
 import type * as heldLease from "./heldLease";
-import * as lives from "./incarnation";
-import type * as bookOfTasks from "./jobRegistry";
-import * as watch from "./taskWatchdog";
+import * as incarnations from "./incarnation";
+import type * as jobRegistry from "./jobRegistry";
+import * as taskWatchdog from "./taskWatchdog";
 import type * as workerSession from "./workerSession";
 
 export interface WorkerRegistryOptions {
@@ -17,88 +18,99 @@
     readonly log: observe.Log;
     readonly leadership: heldLease.Leadership;
     readonly maxLeaseMs: number;
-    readonly jobRegistry: Pick<bookOfTasks.JobRegistry, "loseTasksOf" | "crashAttribution">;
-    /** Leaves out workers that no queue can use. */
+    readonly jobRegistry: Pick<jobRegistry.JobRegistry, "loseTasksOf" | "crashAttribution">;
+    /** Removes workers that no queue can use. */
     filterKnownServices<T extends entries.WorkerInfo>(listed: readonly T[]): readonly T[];
     openSession(worker: entries.WorkerEntry): workerSession.WorkerSession;
-    /** Sees to it that a start that got no answer is not carried out by the worker's present life. */
+    /** Stops a run whose start got no answer, so that the worker's current incarnation refuses the delayed order. */
     closeRun(worker: entries.WorkerEntry, task: string, run: number): void;
-    /** Something may now be startable. */
+    /** Called when a task may have become startable. */
     onChanged(): void;
 }
 
 export interface WorkerRegistry {
+    /** All known incarnations by id. */
     readonly workers: ReadonlyMap<string, entries.WorkerEntry>;
-    /** The life of that id; one of which nothing else is known where it is not listed. */
+    /** Returns the incarnation with that id; creates an entry without further information if it is unknown. */
     getWorker(id: string): entries.WorkerEntry;
-    /** The present life of the worker of that name. */
+    /** Returns the current incarnation of the worker with that name. */
     findCurrent(name: string): entries.WorkerEntry | undefined;
     getSession(worker: entries.WorkerEntry): workerSession.WorkerSession | undefined;
+    /** Updates the workers from the directory's complete list. */
     applyDirectory(listed: readonly directory.ListedWorker[]): void;
-    /** Another worker answers at the address, or all that ran there has lapsed. */
-    onLost(worker: entries.WorkerEntry, how: "otherLife" | "lapsed"): void;
-    /** The worker's next life has answered. */
-    onNextIncarnation(worker: entries.WorkerEntry, next: lives.Incarnation, lists: workerSession.PollResult): void;
+    /** Another worker answers at the address, or all leases there have expired. */
+    onLost(worker: entries.WorkerEntry, reason: "otherLife" | "lapsed"): void;
+    /** The worker's next incarnation has answered. */
+    onNextIncarnation(
+        worker: entries.WorkerEntry,
+        next: incarnations.Incarnation,
+        pollResult: workerSession.PollResult,
+    ): void;
     closeSessions(): void;
 }
 
-type ListedLife = entries.WorkerInfo & Pick<directory.ListedWorker, "reportedAt">;
+type ListedIncarnation = entries.WorkerInfo & Pick<directory.ListedWorker, "reportedAt">;
 
+/** Creates an empty registry. */
 export function createWorkerRegistry(options: WorkerRegistryOptions): WorkerRegistry {
-    const { clock: time, log, jobRegistry: book } = options;
+    const { clock: time, log, jobRegistry: jobs } = options;
     const workers = new Map<string, entries.WorkerEntry>();
     const sessions = new Map<string, workerSession.WorkerSession>();
     const byName = new Map<string, Set<entries.WorkerEntry>>();
-    const newest = lives.createLatestIncarnations();
+    const latest = incarnations.createLatestIncarnations();
 
-    const getLife = (id: string): entries.WorkerEntry => {
+    const getWorker = (id: string): entries.WorkerEntry => {
         let worker = workers.get(id);
         if (!worker) {
             worker = entries.createWorkerEntry(entries.createUnknownWorkerInfo(id));
             worker.listed = false;
             workers.set(id, worker);
             byName.set(worker.incarnation.name, (byName.get(worker.incarnation.name) ?? new Set()).add(worker));
-            newest.record(worker.incarnation);
+            latest.record(worker.incarnation);
         }
         return worker;
     };
-    const forget = (worker: entries.WorkerEntry) => {
+    const remove = (worker: entries.WorkerEntry) => {
         sessions.get(worker.id)?.close();
         sessions.delete(worker.id);
         workers.delete(worker.id);
         byName.get(worker.incarnation.name)?.delete(worker);
     };
     const openSession = (worker: entries.WorkerEntry) => {
-        book.crashAttribution.recordWorkerSeen(worker.info);
+        jobs.crashAttribution.recordWorkerSeen(worker.info);
         sessions.set(worker.id, options.openSession(worker));
     };
-    /** `lists`: what the next life has told, if it has answered. */
-    const succeed = (before: entries.WorkerEntry, next: entries.WorkerEntry, lists?: workerSession.PollResult) => {
-        log.info("workerRestarted", { worker: next.id, before: before.id, tasks: before.tasks.size });
-        sessions.get(before.id)?.close();
-        sessions.delete(before.id);
+    /** Replaces an incarnation by its successor; `pollResult` is the successor's answer, if it has answered. */
+    const replaceIncarnation = (
+        previous: entries.WorkerEntry,
+        next: entries.WorkerEntry,
+        pollResult?: workerSession.PollResult,
+    ) => {
+        log.info("workerRestarted", { worker: next.id, before: previous.id, tasks: previous.tasks.size });
+        sessions.get(previous.id)?.close();
+        sessions.delete(previous.id);
         if (!sessions.has(next.id)) {
             openSession(next);
         }
-        book.loseTasksOf(before, "otherLife", { worker: next, pollResult: lists });
-        for (const [task, run] of before.unconfirmedStarts) {
+        jobs.loseTasksOf(previous, "otherLife", { worker: next, pollResult });
+        for (const [task, run] of previous.unconfirmedStarts) {
             options.closeRun(next, task, run);
         }
-        forget(before);
+        remove(previous);
     };
-    /** The lives before this one of which something may still be known. */
-    const listEarlier = ({ incarnation: life }: entries.WorkerEntry) =>
-        [...byName.get(life.name) ?? []].filter(other => other.incarnation.startedAt < life.startedAt);
+    /** Lists the entries of the worker's earlier incarnations. */
+    const listEarlier = ({ incarnation }: entries.WorkerEntry) =>
+        [...byName.get(incarnation.name) ?? []].filter(other => other.incarnation.startedAt < incarnation.startedAt);
 
-    /** `undefined`: the life is over, and the directory is behind. */
-    const toLife = ({ name, startedAt: bornAt, ...info }: directory.ListedWorker): ListedLife | undefined => {
-        const present = newest.record({ name, startedAt: bornAt });
-        return bornAt === 0 || present.startedAt === bornAt
-            ? { ...info, id: lives.getIncarnationId(present) }
+    /** Returns `undefined` if the directory is stale and the incarnation has ended. */
+    const toIncarnation = ({ name, startedAt, ...info }: directory.ListedWorker): ListedIncarnation | undefined => {
+        const current = latest.record({ name, startedAt });
+        return startedAt === 0 || current.startedAt === startedAt
+            ? { ...info, id: incarnations.getIncarnationId(current) }
             : undefined;
     };
-    const noteListed = (info: ListedLife) => {
-        const worker = getLife(info.id);
+    const updateListed = (info: ListedIncarnation) => {
+        const worker = getWorker(info.id);
         worker.info = info;
         worker.reportedAt = info.reportedAt;
         worker.listed = true;
@@ -108,70 +120,70 @@
         }
         return worker;
     };
-    /** Opens the session unless the life before is still to be asked what became of its tasks. */
-    const openListed = (worker: entries.WorkerEntry) => {
-        for (const before of listEarlier(worker)) {
-            const session = sessions.get(before.id);
-            if (session && before.tasks.size > 0) {
+    /** Opens the session unless the previous incarnation must first be polled for the fate of its tasks. */
+    const openListedSession = (worker: entries.WorkerEntry) => {
+        for (const previous of listEarlier(worker)) {
+            const session = sessions.get(previous.id);
+            if (session && previous.tasks.size > 0) {
                 session.pollNow();
                 return;
             }
-            succeed(before, worker);
+            replaceIncarnation(previous, worker);
         }
         if (!sessions.has(worker.id)) {
             openSession(worker);
         }
     };
-    const noteUnlisted = (worker: entries.WorkerEntry) => {
+    const handleUnlisted = (worker: entries.WorkerEntry) => {
         if (worker.listed) {
             log.info("workerUnlisted", { worker: worker.id, tasks: worker.tasks.size });
         }
         worker.listed = false;
         if (worker.tasks.size === 0) {
-            forget(worker);
+            remove(worker);
         }
         else if (!sessions.has(worker.id)) {
-            // Not listed since before the takeover: it cannot be reached, only waited for.
+            // It was not listed since the takeover, so its address is unknown and only its leases can expire.
             const { leadership, maxLeaseMs } = options;
-            watch.markLostAfterExpiry(worker, { clock: time, leadership, maxLeaseMs, jobRegistry: book });
+            taskWatchdog.markLostAfterExpiry(worker, { clock: time, leadership, maxLeaseMs, jobRegistry: jobs });
         }
     };
 
     return {
-        workers: workers,
-        getWorker: getLife,
-        findCurrent: name => workers.get(lives.getIncarnationId(newest.record({ name, startedAt: 0 }))),
+        workers,
+        getWorker,
+        findCurrent: name => workers.get(incarnations.getIncarnationId(latest.record({ name, startedAt: 0 }))),
         getSession: worker => sessions.get(worker.id),
         applyDirectory: all => {
-            const listed = options.filterKnownServices(all.map(toLife).filter(info => info !== undefined));
-            const present = new Set(listed.map(info => info.id));
+            const listed = options.filterKnownServices(all.map(toIncarnation).filter(info => info !== undefined));
+            const listedIds = new Set(listed.map(info => info.id));
             for (const info of listed) {
-                const worker = noteListed(info);
+                const worker = updateListed(info);
                 if (!sessions.has(info.id)) {
-                    openListed(worker);
+                    openListedSession(worker);
                 }
             }
             for (const worker of [...workers.values()]) {
-                if (!present.has(worker.id)) {
-                    noteUnlisted(worker);
+                if (!listedIds.has(worker.id)) {
+                    handleUnlisted(worker);
                 }
             }
             options.onChanged();
         },
-        onLost: (worker, how) => {
-            book.loseTasksOf(worker, how);
-            if (how === "otherLife") {
-                forget(worker);
+        onLost: (worker, reason) => {
+            jobs.loseTasksOf(worker, reason);
+            if (reason === "otherLife") {
+                remove(worker);
             }
         },
-        onNextIncarnation: (worker, { name, startedAt: bornAt }, lists) => {
-            const life = newest.record({ name, startedAt: bornAt });
-            const id = lives.getIncarnationId(life);
-            const next = getLife(id);
+        onNextIncarnation: (worker, { name, startedAt }, pollResult) => {
+            const incarnation = latest.record({ name, startedAt });
+            const id = incarnations.getIncarnationId(incarnation);
+            const next = getWorker(id);
             if (!next.listed) {
                 next.info = { ...worker.info, id };
             }
-            succeed(worker, next, lists);
+            replaceIncarnation(worker, next, pollResult);
             options.onChanged();
         },
         closeSessions: () => sessions.forEach(session => session.close()),
--- a/src/leader/workerSession.ts
+++ b/src/leader/workerSession.ts
@@ -1,22 +1,23 @@
 /**
- * The leader's conversation with one worker: looks that prolong leases and bring ends, and the orders.
+ * The leader's session with one worker incarnation: polls that renew leases and return ends, and orders.
  *
- * One loop looks as long as anything runs there or an end is not yet forgotten; a look waits at the worker for the
- * next end, so an idle worker costs nothing and an end is known at once.
+ * A loop polls as long as the worker has tasks or unacknowledged ends. A poll waits at the worker for the next end, so an
+ * end is known at once, and an idle worker is not polled.
  */
 import type * as clock from "../clock/index";
 import type * as observe from "../observe/index";
 import type * as heldLease from "./heldLease";
-import * as lives from "./incarnation";
-import * as firstLooks from "./initialPollLimiter";
-import * as lapse from "./leaseExpiry";
+import * as incarnations from "./incarnation";
+import * as initialPollLimiter from "./initialPollLimiter";
+import * as leaseExpiry from "./leaseExpiry";
 import * as port from "./workerPort";
 
+/** The answer to a poll, without ends that were returned before. */
 export interface PollResult {
-    /** Monotonic time at which the look was sent: what was confirmed later may be missing from it. */
+    /** Monotonic time at which the poll was sent; runs that were confirmed later may be missing from the result. */
     readonly sentAt: number;
     readonly running: readonly port.RunningTask[];
-    /** Ends not seen before. */
+    /** Ends that earlier polls did not return. */
     readonly ended: readonly port.TaskEnd[];
     /** Whether the list of ends was complete. */
     readonly isEndListComplete: boolean;
@@ -24,86 +25,94 @@
 
 export interface WorkerSessionOptions {
     readonly worker: port.WorkerAddress;
-    /** The life that is meant: all that the session knows is known of it alone. */
-    readonly incarnation: lives.Incarnation;
+    /** The incarnation of the session; all state of the session holds for it alone. */
+    readonly incarnation: incarnations.Incarnation;
     readonly port: port.WorkerPort;
     readonly clock: clock.Clock;
     readonly log: observe.Log;
     readonly leadership: heldLease.Leadership;
-    readonly pollLimiter: firstLooks.InitialPollLimiter;
-    /** Longest lease that the worker grants. */
+    readonly pollLimiter: initialPollLimiter.InitialPollLimiter;
+    /** Maximum duration of the worker's leases, in milliseconds. */
     readonly maxLeaseMs: number;
-    /** Whether tasks are there, or may be. */
+    /** Whether the worker has or may have tasks. */
     isBusy(): boolean;
-    /** How long a look may wait at the worker. */
+    /** Maximum time that a poll may wait at the worker, in milliseconds. */
     getPollWaitMs(): number;
-    /** Takes note of a look; resolves when what it said is stored. */
-    onPollResult(lists: PollResult): Promise<void>;
-    /** Another worker answers at the address, or all that could run there has lapsed. */
-    onLost(how: "otherLife" | "lapsed"): void;
-    /** The worker's next life has answered: this one is over. */
-    onNextIncarnation(next: lives.Incarnation, lists: PollResult): void;
-    onReachability(heard: boolean): void;
-    /** A look has failed before its time was over: its connection broke or was refused. */
+    /** Handles the result of a poll; resolves when its ends are stored. */
+    onPollResult(pollResult: PollResult): Promise<void>;
+    /** Another worker answers at the address, or all leases there have expired. */
+    onLost(reason: "otherLife" | "lapsed"): void;
+    /** The worker's next incarnation has answered, so this one has ended. */
+    onNextIncarnation(next: incarnations.Incarnation, pollResult: PollResult): void;
+    /** Called after each poll of the loop or on demand; `isReachable` tells whether the worker has answered. */
+    onReachability(isReachable: boolean): void;
+    /** A poll has failed before its timeout: its connection broke or was refused. */
     onDisconnected(): void;
+    /** The worker has refused an order because it knows a higher fencing token. */
     onFenced(): void;
 }
 
 export interface WorkerSession {
-    /** Whether the worker has answered within that time. */
-    hasAnsweredWithin(longestSilenceMs: number): boolean;
-    /** Whether it has, or answers to a look now. */
-    ensureReachable(longestSilenceMs: number): Promise<boolean>;
+    /** Whether the worker has answered within the last `maxSilenceMs`. */
+    hasAnsweredWithin(maxSilenceMs: number): boolean;
+    /** Like `hasAnsweredWithin`, but polls the worker once if it has not. */
+    ensureReachable(maxSilenceMs: number): Promise<boolean>;
+    /** Sends a start order with the leader's token and a new deadline; never rejects. */
     start(order: Omit<port.StartOrder, "fencingToken" | "deadline">): Promise<port.OrderAnswer>;
     stop(order: Omit<port.RunOrder, "fencingToken">): Promise<port.OrderAnswer>;
     pace(order: Omit<port.PaceOrder, "fencingToken">): Promise<port.OrderAnswer>;
-    /** Has the loop look without waiting for the answer to the look under way. */
+    /** Polls at once, beside a poll of the loop that may be in flight. */
     pollNow(): void;
+    /** Ends the polls of the session; answers in flight are ignored. */
     close(): void;
 }
 
-/** Beyond the wait of a look: the way there and back is 1 ms, a loaded worker answers within some 100 ms. */
-const LOOK_SLACK_MS = 600;
-/** An order is answered within milliseconds; one without an answer is settled, and gangs wait for it. */
+/** Added to the wait of a poll: the round trip takes 1 ms, and a loaded worker answers within about 100 ms. */
+const POLL_SLACK_MS = 600;
+/** Orders are answered within milliseconds; gangs wait until an order without an answer is resolved. */
 const ORDER_TIMEOUT_MS = 600;
 const RETRY_PAUSE_MS = 150;
-/** An idle worker's last ends are acknowledged this much later, unless a new task brings a look before. */
-const LAST_LOOK_DELAY_MS = 400;
+/** The last ends of an idle worker are acknowledged after this time, unless a new task causes a poll before. */
+const LAST_POLL_DELAY_MS = 400;
 
-/** A worker that was idle for longer is looked at before a start: its clock may have fallen behind by 0.2 s since. */
-const LONGEST_CLOCK_AGE_MS = 10_000;
+/** A worker that was idle for longer is polled before a start: its clock may have fallen behind by 0.2 s. */
+const MAX_CLOCK_AGE_MS = 10_000;
 
+/** Opens a session and starts its poll loop. */
 export function createWorkerSession(options: WorkerSessionOptions): WorkerSession {
-    const { worker, incarnation: life, clock: time, leadership } = options;
-    const id = lives.getIncarnationId(life);
+    const { worker, incarnation, clock: time, leadership } = options;
+    const id = incarnations.getIncarnationId(incarnation);
     const controller = new AbortController();
     const { signal } = controller;
-    let workerClock: lapse.ClockReading | undefined;
-    /** Our time by which everything there has lapsed unless it is prolonged. */
-    let lapsedAt = lapse.getExpiresAt(Math.max(leadership.predecessorsInactiveAt, time.now()), options.maxLeaseMs);
-    let lastEnd = 0;
+    let workerClock: leaseExpiry.ClockReading | undefined;
+    /** The leader's time at which all leases of the worker have expired unless they are renewed. */
+    let expiresAt = leaseExpiry.getExpiresAt(
+        Math.max(leadership.predecessorsInactiveAt, time.now()),
+        options.maxLeaseMs,
+    );
+    let lastEndNumber = 0;
     let recordedUpTo = 0;
     let acknowledgedUpTo = 0;
-    let mustLook = true;
-    let lookNowWanted = false;
-    let lastLookAt = -Infinity;
-    /** When the latest look was sent that this life has answered. */
-    let provenAt = -Infinity;
-    let startsUnderWay = 0;
-    /** When a start last went out, was answered or was given up. */
+    let mustPoll = true;
+    let isPollNowPending = false;
+    let lastPollAt = -Infinity;
+    /** When the latest poll that this incarnation has answered was sent. */
+    let lastAnsweredPollAt = -Infinity;
+    let startsInFlight = 0;
+    /** When a start was last sent, answered or timed out. */
     let lastStartAt = -Infinity;
-    let heard = false;
-    let fenced = false;
-    /** A first look went out before. */
-    let tried = false;
-    let gone = false;
+    let isReachable = false;
+    let hasAcceptedToken = false;
+    /** Whether a first poll was attempted. */
+    let hasTried = false;
+    let isEnded = false;
     let wake: (() => void) | undefined;
 
-    const learnClock = (shown: number | undefined) => {
-        if (shown !== undefined && shown > 0) {
-            // The answer left the worker before it came here, so this is never too high, and a deadline made from it
-            // never later than we count on: a look may have waited there for seconds.
-            workerClock = { value: shown, readAt: time.now() };
+    const learnClock = (value: number | undefined) => {
+        if (value !== undefined && value > 0) {
+            // The reading is older than its arrival, so the clock is never overestimated, and a deadline computed from
+            // it is never too late. Counting from when the poll was sent would be wrong: it may have waited for seconds.
+            workerClock = { value, readAt: time.now() };
         }
     };
     const getDeadline = () => {
@@ -111,24 +120,24 @@
             return undefined;
         }
         const now = time.now();
-        lapsedAt = Math.max(lapsedAt, lapse.getExpiresAt(now, options.maxLeaseMs));
-        return Math.floor(lapse.getMinClock(workerClock, now) + options.maxLeaseMs);
+        expiresAt = Math.max(expiresAt, leaseExpiry.getExpiresAt(now, options.maxLeaseMs));
+        return Math.floor(leaseExpiry.getMinClock(workerClock, now) + options.maxLeaseMs);
     };
-    const setHeard = (next: boolean) => {
-        if (heard !== next) {
-            heard = next;
+    const setReachable = (next: boolean) => {
+        if (isReachable !== next) {
+            isReachable = next;
             options.log.info(next ? "workerHeard" : "workerSilent", { worker: id });
         }
         options.onReachability(next);
     };
-    const endLife = (how: "otherLife" | "lapsed") => {
-        if (!gone || how === "lapsed") {
-            gone = how === "otherLife";
-            options.onLost(how);
+    const endIncarnation = (reason: "otherLife" | "lapsed") => {
+        if (!isEnded || reason === "lapsed") {
+            isEnded = reason === "otherLife";
+            options.onLost(reason);
         }
     };
-    /** What each answer says beyond its own order. */
-    const takeNote = (answer: port.OrderAnswer | port.PollAnswer) => {
+    /** Handles the parts of an answer that do not depend on the order. */
+    const handleAnswer = (answer: port.OrderAnswer | port.PollAnswer) => {
         switch (answer.kind) {
             case "accepted":
             case "lists":
@@ -141,7 +150,7 @@
                 }
                 break;
             case "otherLife":
-                endLife("otherLife");
+                endIncarnation("otherLife");
                 break;
             case "unwell":
             case "unreachable":
@@ -149,35 +158,35 @@
                 break;
         }
     };
-    const isUnacknowledged = () => recordedUpTo > acknowledgedUpTo;
+    const hasUnacknowledgedEnds = () => recordedUpTo > acknowledgedUpTo;
     /**
-     * An acknowledgement goes by number, and is carried out by whichever life it meets. It is safe while the next life
-     * cannot have an end yet: no start has gone out since this one was last heard.
+     * An acknowledgement names end numbers, and the incarnation that receives it may be the next one. It is safe as long as
+     * that one cannot have an end yet: no start was sent since this incarnation last answered.
      */
-    const mayAcknowledge = () => heard && startsUnderWay === 0 && provenAt > lastStartAt;
-    const look = async (waitMs: number): Promise<boolean> => {
+    const mayAcknowledge = () => isReachable && startsInFlight === 0 && lastAnsweredPollAt > lastStartAt;
+    const poll = async (waitMs: number): Promise<boolean> => {
         const sentAt = time.now();
-        lastLookAt = sentAt;
-        const acknowledged = isUnacknowledged() && mayAcknowledge() ? recordedUpTo : 0;
-        const timeoutMs = waitMs + LOOK_SLACK_MS;
+        lastPollAt = sentAt;
+        const acknowledged = hasUnacknowledgedEnds() && mayAcknowledge() ? recordedUpTo : 0;
+        const timeoutMs = waitMs + POLL_SLACK_MS;
         const answer = await options.port.poll(worker, {
             fencingToken: leadership.token,
             recordedUpTo: acknowledged,
-            // A silent worker's lease is not prolonged: such a look may be carried out late, and as long as the next
-            // one goes out the work there would never be certain to have lapsed.
-            deadline: heard ? getDeadline() : undefined,
+            // Polls of an unreachable worker renew no lease: they may be carried out late, so with every further poll
+            // the time by which the leases have certainly expired would move on.
+            deadline: isReachable ? getDeadline() : undefined,
             waitMs,
         }, timeoutMs);
         if (signal.aborted) {
             return false;
         }
-        if (answer.kind === "lists" && answer.startedAt !== 0 && answer.startedAt !== life.startedAt) {
-            takeAnswerOfOtherLife(answer, sentAt);
+        if (answer.kind === "lists" && answer.startedAt !== 0 && answer.startedAt !== incarnation.startedAt) {
+            handleOtherIncarnation(answer, sentAt);
             return false;
         }
-        takeNote(answer);
+        handleAnswer(answer);
         if (answer.kind !== "lists") {
-            provenAt = -Infinity;
+            lastAnsweredPollAt = -Infinity;
             if (answer.kind !== "otherLife") {
                 const isBrokenOff = isNoAnswer(answer) && time.now() - sentAt < timeoutMs;
                 options.log.info("lookFailed", { worker: id, answer: answer.kind, isBrokenOff });
@@ -187,22 +196,22 @@
             }
             return false;
         }
-        provenAt = Math.max(provenAt, sentAt);
-        if (!fenced) {
-            // From here on the worker obeys no earlier leader, so only our own grants count.
-            fenced = true;
-            lapsedAt = lapse.getExpiresAt(time.now(), options.maxLeaseMs);
+        lastAnsweredPollAt = Math.max(lastAnsweredPollAt, sentAt);
+        if (!hasAcceptedToken) {
+            // From now on the worker refuses earlier leaders, so only this leader's grants count.
+            hasAcceptedToken = true;
+            expiresAt = leaseExpiry.getExpiresAt(time.now(), options.maxLeaseMs);
         }
-        mustLook = false;
+        mustPoll = false;
         acknowledgedUpTo = Math.max(acknowledgedUpTo, acknowledged);
-        const fresh = answer.ended.filter(end => end.number > lastEnd);
-        lastEnd = fresh.reduce((max, end) => Math.max(max, end.number), lastEnd);
-        const upTo = lastEnd;
-        setHeard(true);
+        const newEnds = answer.ended.filter(end => end.number > lastEndNumber);
+        lastEndNumber = newEnds.reduce((max, end) => Math.max(max, end.number), lastEndNumber);
+        const upTo = lastEndNumber;
+        setReachable(true);
         void options.onPollResult({
             sentAt,
             running: answer.running,
-            ended: fresh,
+            ended: newEnds,
             isEndListComplete: answer.ended.length < port.MAX_ENDS_LISTED,
         }).then(() => {
             recordedUpTo = Math.max(recordedUpTo, upTo);
@@ -210,26 +219,28 @@
         });
         return true;
     };
-    const takeAnswerOfOtherLife = (answer: Extract<port.PollAnswer, { kind: "lists"; }>, sentAt: number) => {
-        const { startedAt: bornAt, running, ended } = answer;
-        if (bornAt < life.startedAt) {
-            options.log.warn("lookOutdated", { worker: id, bornAt });
+    const handleOtherIncarnation = (answer: Extract<port.PollAnswer, { kind: "lists"; }>, sentAt: number) => {
+        const { startedAt, running, ended } = answer;
+        if (startedAt < incarnation.startedAt) {
+            options.log.warn("lookOutdated", { worker: id, bornAt: startedAt });
             return;
         }
-        if (!gone) {
-            gone = true;
+        if (!isEnded) {
+            isEnded = true;
             options.onNextIncarnation(
-                { name: life.name, startedAt: bornAt },
+                { name: incarnation.name, startedAt },
                 { sentAt, running, ended, isEndListComplete: ended.length < port.MAX_ENDS_LISTED },
             );
         }
     };
-    const takeFirstLook = async () => {
-        const { PollPriority: Turn } = firstLooks;
-        const leave = await options.pollLimiter.acquire(tried ? Turn.Retry : options.isBusy() ? Turn.Busy : Turn.Idle);
-        tried = true;
-        const answered = !signal.aborted && leadership.mayExtendTaskLeases() && await look(0);
-        leave();
+    const pollFirst = async () => {
+        const { PollPriority } = initialPollLimiter;
+        const release = await options.pollLimiter.acquire(
+            hasTried ? PollPriority.Retry : options.isBusy() ? PollPriority.Busy : PollPriority.Idle,
+        );
+        hasTried = true;
+        const answered = !signal.aborted && leadership.mayExtendTaskLeases() && await poll(0);
+        release();
         return answered;
     };
     const pause = (ms: number) =>
@@ -244,98 +255,102 @@
         });
     const loop = async () => {
         let idleSince: number | undefined;
-        while (!signal.aborted && !gone) {
+        while (!signal.aborted && !isEnded) {
             const busy = options.isBusy();
-            const unacknowledged = isUnacknowledged();
+            const hasUnacknowledged = hasUnacknowledgedEnds();
             if (busy) {
                 idleSince = undefined;
             }
             else {
                 idleSince ??= time.now();
             }
-            const lastLookDue = unacknowledged && idleSince !== undefined
-                && time.now() - idleSince >= LAST_LOOK_DELAY_MS;
-            if (!busy && !mustLook && !lastLookDue) {
-                await pause(unacknowledged ? LAST_LOOK_DELAY_MS : IDLE_PAUSE_MS);
+            const isLastPollDue = hasUnacknowledged && idleSince !== undefined
+                && time.now() - idleSince >= LAST_POLL_DELAY_MS;
+            if (!busy && !mustPoll && !isLastPollDue) {
+                await pause(hasUnacknowledged ? LAST_POLL_DELAY_MS : IDLE_PAUSE_MS);
                 continue;
             }
-            if (lastEnd > recordedUpTo && time.now() - lastLookAt < UNRECORDED_LOOK_MS) {
-                // A look would answer at once with the same ends until they are recorded.
-                await pause(UNRECORDED_LOOK_MS - (time.now() - lastLookAt));
+            if (lastEndNumber > recordedUpTo && time.now() - lastPollAt < MIN_UNRECORDED_POLL_INTERVAL_MS) {
+                // Until the ends are recorded a poll would return them again at once.
+                await pause(MIN_UNRECORDED_POLL_INTERVAL_MS - (time.now() - lastPollAt));
                 continue;
             }
             if (!leadership.mayExtendTaskLeases()) {
                 await pause(RETRY_PAUSE_MS);
                 continue;
             }
-            const isAcknowledging = !unacknowledged || mayAcknowledge();
-            const waitMs = busy && !mustLook && workerClock && isAcknowledging ? options.getPollWaitMs() : 0;
-            if (!await (fenced ? look(waitMs) : takeFirstLook())) {
-                if (signal.aborted || gone) {
+            const isAcknowledging = !hasUnacknowledged || mayAcknowledge();
+            const waitMs = busy && !mustPoll && workerClock && isAcknowledging ? options.getPollWaitMs() : 0;
+            if (!await (hasAcceptedToken ? poll(waitMs) : pollFirst())) {
+                if (signal.aborted || isEnded) {
                     return;
                 }
-                setHeard(false);
-                mustLook = true;
-                if (options.isBusy() && time.now() > lapsedAt) {
-                    endLife("lapsed");
+                setReachable(false);
+                mustPoll = true;
+                if (options.isBusy() && time.now() > expiresAt) {
+                    endIncarnation("lapsed");
                 }
                 await pause(RETRY_PAUSE_MS);
             }
         }
     };
-    const runLookNow = async () => {
-        if (lookNowWanted) {
+    const runPollNow = async () => {
+        if (isPollNowPending) {
             return;
         }
-        lookNowWanted = true;
+        isPollNowPending = true;
         await Promise.resolve();
-        lookNowWanted = false;
+        isPollNowPending = false;
         if (!signal.aborted && leadership.mayExtendTaskLeases()) {
-            await look(0);
+            await poll(0);
         }
     };
     const sendStart = async (request: port.StartOrder) => {
-        startsUnderWay++;
+        startsInFlight++;
         lastStartAt = time.now();
         const answer = await options.port.start(worker, request, ORDER_TIMEOUT_MS);
-        startsUnderWay--;
+        startsInFlight--;
         lastStartAt = time.now();
         return answer;
     };
-    const order = async <T extends port.OrderAnswer>(send: () => Promise<T>): Promise<port.OrderAnswer> => {
+    const sendOrder = async <T extends port.OrderAnswer>(send: () => Promise<T>): Promise<port.OrderAnswer> => {
         if (!leadership.mayIssueOrders()) {
-            return { kind: "unreachable", message: "the lease is not certain" };
+            return { kind: "unreachable", message: "the leader's lease may have expired" };
         }
         const answer = await send();
         if (!signal.aborted) {
-            takeNote(answer);
+            handleAnswer(answer);
         }
         return answer;
     };
-    const hasContact = (longestSilenceMs: number) =>
-        workerClock !== undefined && time.now() - workerClock.readAt <= longestSilenceMs;
-    const makeContact = async (longestSilenceMs: number) => hasContact(longestSilenceMs) || look(0);
+    const hasAnsweredWithin = (maxSilenceMs: number) =>
+        workerClock !== undefined && time.now() - workerClock.readAt <= maxSilenceMs;
+    const ensureReachable = async (maxSilenceMs: number) => hasAnsweredWithin(maxSilenceMs) || poll(0);
     void loop();
 
     return {
-        hasAnsweredWithin: hasContact,
-        ensureReachable: makeContact,
+        hasAnsweredWithin,
+        ensureReachable,
         start: async request => {
-            if (workerClock && !await makeContact(LONGEST_CLOCK_AGE_MS)) {
-                return { kind: "unreachable", message: "the worker's clock was read too long ago" };
+            if (workerClock && !await ensureReachable(MAX_CLOCK_AGE_MS)) {
+                return { kind: "unreachable", message: "the last reading of the worker's clock is too old" };
             }
             const deadline = getDeadline();
             if (deadline === undefined) {
-                return { kind: "unreachable", message: "the worker's clock is not known yet" };
+                return { kind: "unreachable", message: "no reading of the worker's clock yet" };
             }
             wake?.();
-            return order(() => sendStart({ ...request, fencingToken: leadership.token, deadline }));
+            return sendOrder(() => sendStart({ ...request, fencingToken: leadership.token, deadline }));
         },
         stop: request =>
-            order(() => options.port.stop(worker, { ...request, fencingToken: leadership.token }, ORDER_TIMEOUT_MS)),
+            sendOrder(() =>
+                options.port.stop(worker, { ...request, fencingToken: leadership.token }, ORDER_TIMEOUT_MS)
+            ),
         pace: request =>
-            order(() => options.port.pace(worker, { ...request, fencingToken: leadership.token }, ORDER_TIMEOUT_MS)),
-        pollNow: () => void runLookNow(),
+            sendOrder(() =>
+                options.port.pace(worker, { ...request, fencingToken: leadership.token }, ORDER_TIMEOUT_MS)
+            ),
+        pollNow: () => void runPollNow(),
         close: () => {
             controller.abort();
             wake?.();
@@ -348,9 +363,9 @@
 }
 
 /**
- * While ends are not recorded, as when the store is away, a look prolongs the leases and brings nothing new: this
- * often is enough for the shortest lease of 6 s. Without the bound looks follow each other without a pause.
+ * Minimum interval of polls while ends are not recorded, for example during an outage of the store. Such polls only renew
+ * the leases, of which the shortest is 6 s; without the bound they would follow each other without a pause.
  */
-const UNRECORDED_LOOK_MS = 1_000;
-/** The loop of an idle worker is woken by its next order; this only bounds a missed call. */
+const MIN_UNRECORDED_POLL_INTERVAL_MS = 1_000;
+/** The loop of an idle worker is woken by its next order; this bounds the delay if a wake-up is missed. */
 const IDLE_PAUSE_MS = 5_000;
