--- a/src/leader/__tests__/orders.test.ts
+++ b/src/leader/__tests__/orders.test.ts
@@ -2,7 +2,7 @@
 import * as telemetry from "../../telemetry/index";
 import * as crashHistory from "../crashHistory";
 import * as entries from "../entries";
-import type * as bookOfTasks from "../jobRegistry";
+import type * as jobRegistry from "../jobRegistry";
 import * as orders from "../orders";
 import type * as workerSession from "../workerSession";
 import * as fixtures from "./fixtures";
@@ -10,7 +10,7 @@
 interface Case {
     readonly name: string;
     readonly crashBudgetUsed: number;
-    /** What the look before the start finds out, and whether the worker may still be started on after it. */
+    /** Whether the worker answers the poll before the start, and whether it may still get the start after that. */
     readonly answers?: boolean;
     readonly mayStartThen?: boolean;
     readonly calls: readonly string[];
@@ -18,24 +18,25 @@
 }
 
 const cases: readonly Case[] = [
-    { name: "is started without a look", crashBudgetUsed: 0, calls: ["start"] },
-    { name: "that was lost before is started after a look", crashBudgetUsed: 1, calls: ["look", "start"] },
+    { name: "without losses is started without a poll", crashBudgetUsed: 0, calls: ["start"] },
+    { name: "that was lost before is started after a poll", crashBudgetUsed: 1, calls: ["poll", "start"] },
     {
-        name: "that was lost before is taken back from a worker that does not answer, which is set aside",
+        name: "that was lost before is taken back from a worker that does not answer, which is quarantined",
         crashBudgetUsed: 1,
         answers: false,
-        calls: ["look", "takeBack"],
+        calls: ["poll", "takeBack"],
         isSetAside: true,
     },
     {
-        name: "that was lost before is taken back from a worker that shrinks or drains while it is looked at",
+        name: "that was lost before is taken back from a worker that shrinks or drains during the poll",
         crashBudgetUsed: 1,
         mayStartThen: false,
-        calls: ["look", "takeBack"],
+        calls: ["poll", "takeBack"],
     },
 ];
 
-// The look before a start takes up to 0.6 s, in which the worker's last report may become too old.
+// Guards against starts on lost or changed workers: the poll before a start takes up to 0.6 s, in which the worker's last
+// report may become too old.
 describe("a task that is placed", () => {
     test.each(cases)(
         "$name",
@@ -50,7 +51,7 @@
             let mayStart = true;
             const session: Partial<workerSession.WorkerSession> = {
                 ensureReachable: async () => {
-                    called.push("look");
+                    called.push("poll");
                     mayStart = mayStartThen;
                     return answers;
                 },
@@ -59,12 +60,12 @@
                     return { kind: "accepted", workerClock: 0 };
                 },
             };
-            const book: Partial<bookOfTasks.JobRegistry> = {
+            const jobs: Partial<jobRegistry.JobRegistry> = {
                 confirmRunning: () => undefined,
                 revertPlacement: () => called.push("takeBack"),
             };
             const ordersOfTerm = orders.createOrders({
-                jobRegistry: book as bookOfTasks.JobRegistry,
+                jobRegistry: jobs as jobRegistry.JobRegistry,
                 clock: time,
                 log: fixtures.LOG,
                 meter: telemetry.createMetrics().meter,
--- a/src/leader/orders.ts
+++ b/src/leader/orders.ts
@@ -1,29 +1,29 @@
-/** Gives the orders that the book wants, and sees each through to a certain outcome. */
+/** Sends the orders that the job registry requests, and follows each up until its outcome is certain. */
 import type * as clock from "../clock/index";
 import type * as decisions from "../decisions/index";
 import type * as observe from "../observe/index";
 import * as crashHistory from "./crashHistory";
 import type * as entries from "./entries";
-import type * as book from "./jobRegistry";
-import * as contact from "./reachabilityCheck";
+import type * as jobRegistry from "./jobRegistry";
+import * as reachabilityCheck from "./reachabilityCheck";
 import * as suspects from "./suspects";
 import type * as port from "./workerPort";
 import type * as workerSession from "./workerSession";
 
 export interface OrdersOptions {
-    readonly jobRegistry: book.JobRegistry;
+    readonly jobRegistry: jobRegistry.JobRegistry;
     readonly clock: clock.Clock;
     readonly log: observe.Log;
     readonly meter: observe.Meter;
     readonly signal: AbortSignal;
     getSession(worker: entries.WorkerEntry): workerSession.WorkerSession | undefined;
     mayOrder(): boolean;
-    /** Whether what was placed on the worker may still be started there. */
+    /** Whether tasks that were placed on the worker may still be started there. */
     mayStart(worker: entries.WorkerEntry): boolean;
     readonly disabledMechanisms: ReadonlySet<decisions.Mechanism>;
 }
 
-/** A task and the run for which its row is stored; by the time of the order it may be placed anew. */
+/** A task and the run for which its row is stored; the task may be placed again before the order is sent. */
 export interface PlacedTask {
     readonly task: entries.TaskEntry;
     readonly run: number;
@@ -32,30 +32,34 @@
 export interface Orders {
     /** Starts tasks whose rows are stored. */
     start(placed: readonly PlacedTask[]): void;
-    /** Sees a `stopping` task through to its end. */
+    /** Sends stop orders for a `stopping` task until its worker has accepted one. */
     stop(task: entries.TaskEntry): void;
-    /** Tells a running task at which share of its speed it may work. */
+    /** Throttles a running task to the given percentage of its full speed. */
     pace(task: entries.TaskEntry, percent: number): void;
-    stopUnknownRun(worker: entries.WorkerEntry, told: port.RunningTask): void;
+    /** Stops a run that the worker lists and the job registry does not hold. */
+    stopUnknownRun(worker: entries.WorkerEntry, reported: port.RunningTask): void;
     /** Stops the run of a task that is done. */
     stopObsolete(task: entries.TaskEntry): void;
-    /** After it the worker refuses that run, however late its start comes. */
+    /** Stops the run, so that the worker refuses a delayed start order of it. */
     closeRun(worker: entries.WorkerEntry, task: string, run: number): void;
 }
 
-/** A worker that says it has no room holds something that we do not know; its next look tells. */
-const NO_ROOM_ASIDE_MS = 500;
+/** Quarantine after a refused start. A worker without capacity has runs that the job registry does not know until the next poll. */
+const REFUSAL_QUARANTINE_MS = 500;
 const STOP_RETRY_MS = 200;
 /**
- * More starts at once only wait for our own processor, and their timeouts run meanwhile: a leader on a third of a core
- * stops sound runs whose answers it has not read in time.
+ * More concurrent starts would only wait for the leader's processor while their timeouts run: a leader with a third of a
+ * core would stop healthy runs whose answers it has not read in time.
  */
 const MAX_STARTS_IN_FLIGHT = 32;
-/** For a look that is lost as well; members of a gang wait 3 s for each other. */
-const UNANSWERED_PATIENCE_MS = 1_000;
+/** Time to resolve a start without an answer, even if one poll is lost; gang members wait 3 s for each other. */
+const UNANSWERED_TIMEOUT_MS = 1_000;
 
-/** A start that never began, as its worker was down already, would look like one more crash under its task. */
-async function findOutWhetherItAnswers(
+/**
+ * Checks that the worker is reachable if the task may have crashed earlier ones. A start on a worker that is already down
+ * would count as one more possible crash of the task.
+ */
+async function checkReachable(
     task: entries.TaskEntry,
     session: workerSession.WorkerSession,
 ): Promise<boolean> {
@@ -63,8 +67,9 @@
         || session.ensureReachable(suspects.MAX_SUSPECT_START_SILENCE_MS);
 }
 
+/** Creates the orders of one term. */
 export function createOrders(options: OrdersOptions): Orders {
-    const { jobRegistry: taskBook, clock: time, log, meter } = options;
+    const { jobRegistry: jobs, clock: time, log, meter } = options;
 
     const waiting: PlacedTask[] = [];
     let inFlight = 0;
@@ -87,7 +92,7 @@
         }
         const worker = task.worker;
         const session = worker && options.getSession(worker);
-        const answers = !session || await findOutWhetherItAnswers(task, session);
+        const answers = !session || await checkReachable(task, session);
         if (task.worker !== worker || task.run !== run) {
             return;
         }
@@ -96,9 +101,9 @@
             if (worker && task.phase === "recording") {
                 worker.quarantinedUntil = answers
                     ? worker.quarantinedUntil
-                    : time.now() + contact.UNREACHABLE_QUARANTINE_MS;
+                    : time.now() + reachabilityCheck.UNREACHABLE_QUARANTINE_MS;
                 log.info("startWithdrawn", { task: task.name, run, worker: worker.id, answers });
-                taskBook.revertPlacement(task);
+                jobs.revertPlacement(task);
             }
             return;
         }
@@ -117,12 +122,12 @@
         if (task.worker !== worker || task.run !== run) {
             return;
         }
-        takeStartAnswer(task, worker, answer);
+        handleStartAnswer(task, worker, answer);
     };
 
-    const takeStartAnswer = (task: entries.TaskEntry, worker: entries.WorkerEntry, answer: port.OrderAnswer) => {
+    const handleStartAnswer = (task: entries.TaskEntry, worker: entries.WorkerEntry, answer: port.OrderAnswer) => {
         if (answer.kind === "accepted") {
-            taskBook.confirmRunning(task);
+            jobs.confirmRunning(task);
             return;
         }
         log.info("startNotConfirmed", {
@@ -139,50 +144,50 @@
                     task.step.tickets.delete(worker.id);
                 }
                 else {
-                    worker.quarantinedUntil = time.now() + NO_ROOM_ASIDE_MS;
+                    worker.quarantinedUntil = time.now() + REFUSAL_QUARANTINE_MS;
                 }
-                takeBackStart(task);
+                revertStart(task);
                 break;
             case "unwell":
             case "unreachable":
-                worker.quarantinedUntil = time.now() + contact.UNREACHABLE_QUARANTINE_MS;
-                takeBackStart(task);
+                worker.quarantinedUntil = time.now() + reachabilityCheck.UNREACHABLE_QUARANTINE_MS;
+                revertStart(task);
                 break;
             case "unknown":
                 worker.unconfirmedStarts.set(task.name, task.run);
                 if (task.phase === "ordered") {
-                    void settleUnanswered(task, worker);
+                    void resolveUnanswered(task, worker);
                 }
                 break;
             case "otherLife":
-                // The session has reported the end of that life, which took the task back.
+                // The session has reported the worker as lost, which took the task back.
                 break;
         }
     };
 
     /**
-     * A start without an answer was often carried out all the same. A look tells: listed, the task goes on; not
-     * listed, it is stopped, after which the worker refuses the order should it come late. Stopping at once threw
-     * away sound work whenever answers were slow.
+     * Resolves a start without an answer, which was often carried out all the same. A poll shows whether the run is
+     * listed; if not, it is stopped, and the worker then refuses a delayed start order. Stopping at once would throw away
+     * healthy runs whenever answers are slow.
      */
-    const settleUnanswered = async (task: entries.TaskEntry, worker: entries.WorkerEntry) => {
+    const resolveUnanswered = async (task: entries.TaskEntry, worker: entries.WorkerEntry) => {
         const { run } = task;
         if (options.disabledMechanisms.has("unansweredLooks")) {
-            taskBook.requestStop(task, "startUnanswered");
+            jobs.requestStop(task, "startUnanswered");
             return;
         }
         task.startTimedOutAt = time.now();
         options.getSession(worker)?.pollNow();
-        await time.sleep(UNANSWERED_PATIENCE_MS, options.signal);
+        await time.sleep(UNANSWERED_TIMEOUT_MS, options.signal);
         if (task.run === run && task.phase === "ordered" && !options.signal.aborted) {
-            taskBook.requestStop(task, "startUnanswered");
+            jobs.requestStop(task, "startUnanswered");
         }
     };
 
-    const takeBackStart = (task: entries.TaskEntry) => {
-        // A look may have confirmed or a request stopped it in the meantime; then that decides.
+    const revertStart = (task: entries.TaskEntry) => {
+        // In the meantime a poll may have confirmed the run, or it may have been stopped.
         if (task.phase === "ordered" || task.phase === "stopping") {
-            taskBook.revertPlacement(task);
+            jobs.revertPlacement(task);
         }
     };
 
@@ -204,7 +209,7 @@
                 return;
             }
             if (answer?.kind === "accepted" || (answer?.kind === "refused" && answer.reason !== "fence")) {
-                // Refused as old: the run has ended there. Either way the run cannot begin any more.
+                // A refusal as old means that the run has ended. In both cases the run cannot begin any more.
                 task.stopAcceptedAt = time.now();
                 session?.pollNow();
                 return;
@@ -224,7 +229,7 @@
         meter.increment("pace_orders_total", { answer: answer.kind });
         log.info("paced", { task: task.name, worker: worker.id, percent, before: pacePercent, answer: answer.kind });
         if (answer.kind !== "accepted" && task.run === run) {
-            // Not known to hold: the next look decides from the old pace again.
+            // The new pace may not be in effect: the next poll decides from the old one again.
             task.pacePercent = pacePercent;
         }
     };
@@ -264,10 +269,10 @@
             startNext();
         },
         stop: task => void stopOne(task),
-        stopUnknownRun: (worker, told) => {
+        stopUnknownRun: (worker, reported) => {
             const session = options.getSession(worker);
             if (session && options.mayOrder()) {
-                void session.stop({ task: told.task, run: told.run });
+                void session.stop({ task: reported.task, run: reported.run });
             }
         },
     };
--- a/src/leader/outcomes.ts
+++ b/src/leader/outcomes.ts
@@ -1,16 +1,16 @@
-/** How steps, occurrences and jobs come to their end: by tasks that are done, or by too many failures. */
+/** Ends steps, occurrences and jobs: by the completion of their tasks, or by too many failures. */
 import type * as clock from "../clock/index";
 import * as decisions from "../decisions/index";
 import type * as observe from "../observe/index";
 import * as work from "../work/index";
 import * as entries from "./entries";
-import * as blame from "./failingWorkers";
+import * as failingWorkers from "./failingWorkers";
 
-/** Of one occurrence, as expected now. */
+/** Expected times of one occurrence, in milliseconds. */
 export interface ExpectedTimes {
-    /** Time within which it should end. */
+    /** Objective for the time from its submission or due time to its end. */
     readonly objectiveMs: number;
-    /** Its longest chain of work. */
+    /** Expected duration of its longest chain of dependent steps. */
     readonly criticalPathMs: number;
 }
 
@@ -23,25 +23,28 @@
         onJobChanged(job: entries.JobEntry): void;
     };
     getExpected(job: entries.JobEntry): ExpectedTimes;
-    /** How long a run of the step's tasks is expected to take. */
+    /** Expected duration of a run of the step's tasks, in milliseconds. */
     estimateRunMs(step: entries.StepEntry): number;
     readonly disabledMechanisms: ReadonlySet<decisions.Mechanism>;
     onJobEnded(job: entries.JobEntry): void;
-    /** Stops what still runs of an occurrence that is over. */
+    /** Stops the remaining runs of an occurrence that has ended. */
     stopOccurrence(occurrence: entries.OccurrenceEntry, reason: string): void;
 }
 
 export interface Outcomes {
+    /** Ends the job in the given state. */
     endJob(job: entries.JobEntry, state: work.JobState): void;
-    /** A run ended well; of a gang it stands for all members. */
+    /** Marks the task as done after a successful run; for a gang, all its members. */
     markDone(task: entries.TaskEntry): void;
-    /** All tasks of the step are done: later steps may begin. */
+    /** Handles the completion of a step: makes later steps ready, or ends the occurrence. */
     markStepDone(step: entries.StepEntry): void;
+    /** Counts a failed run, and ends the occurrence as failed once the attempts are used up. */
     countFailure(task: entries.TaskEntry, run: number, worker: entries.WorkerEntry): void;
-    /** One of its tasks is not tried again. */
+    /** Ends the occurrence as failed, because one of its tasks is not retried any more. */
     failOccurrence(occurrence: entries.OccurrenceEntry): void;
 }
 
+/** Creates the handling of outcomes for one term. */
 export function createOutcomes(options: OutcomesOptions): Outcomes {
     const { clock: time, log, meter } = options;
 
@@ -78,6 +81,7 @@
             options.stopOccurrence(occurrence, "jobFailed");
         }
         if (job.endedOccurrences.size >= work.getOccurrenceCount(job.submission.spec)) {
+            /** Ends the job in the given state. */
             endJob(job, job.failed ? "failed" : "completed");
             return;
         }
@@ -118,7 +122,7 @@
     const countFailure = (task: entries.TaskEntry, run: number, worker: entries.WorkerEntry) => {
         const { step } = task;
         if (!step.spec.lasting) {
-            blame.recordFailedRun(worker, task, options.estimateRunMs(step), {
+            failingWorkers.recordFailedRun(worker, task, options.estimateRunMs(step), {
                 now: time.now(),
                 disabledMechanisms: options.disabledMechanisms,
             });
@@ -134,7 +138,7 @@
         }
         const { job } = step.occurrence;
         if (step.spec.lasting) {
-            // Lasting tasks may fail at any time, on any worker, and are started again however often.
+            // Lasting tasks may fail at any time on any worker, and are restarted without a limit.
             log.info("lastingTaskFailed", { task: task.name, run, worker: worker.id });
             return;
         }
@@ -148,20 +152,20 @@
             ranMs: Math.round(time.now() - task.runningSince),
         });
         if (failures >= job.queue.maxAttempts) {
-            endFailed(step.occurrence);
+            failOccurrence(step.occurrence);
         }
     };
 
-    const endFailed = (occurrence: entries.OccurrenceEntry) => {
+    const failOccurrence = (occurrence: entries.OccurrenceEntry) => {
         if (!occurrence.isEnded) {
             endOccurrence(occurrence, true);
         }
     };
 
-    return { endJob, markDone, markStepDone, countFailure, failOccurrence: endFailed };
+    return { endJob, markDone, markStepDone, countFailure, failOccurrence };
 }
 
-/** Work of one occurrence, as its caller estimates it. */
+/** Returns the estimated work of one occurrence, from the estimates of the submission. */
 function getCoreSeconds(job: entries.JobEntry): number {
     return job.submission.spec.steps.reduce(
         (sum, step) => sum + step.count * decisions.getCoreEquivalents(step.needs) * step.estimateMs / 1_000,
--- a/src/leader/reconcile.ts
+++ b/src/leader/reconcile.ts
@@ -1,66 +1,68 @@
-/** Compares what a worker lists with what the book holds for it. */
+/** Reconciles the runs and ends that a worker lists with the job registry. */
 import type * as clock from "../clock/index";
 import type * as observe from "../observe/index";
 import * as entries from "./entries";
-import type * as book from "./jobRegistry";
+import type * as jobRegistry from "./jobRegistry";
 import type * as port from "./workerPort";
 import type * as workerSession from "./workerSession";
 
 export interface ReconcileOptions {
-    readonly jobRegistry: book.JobRegistry;
+    readonly jobRegistry: jobRegistry.JobRegistry;
     readonly clock: clock.Clock;
     readonly log: observe.Log;
-    /** Something runs there that the book does not hold: it must be stopped. */
+    /** Stops a run that the worker lists and the job registry does not hold. */
     stopUnknownRun(worker: entries.WorkerEntry, task: port.RunningTask): void;
 }
 
+/** Applies the poll result to the job registry and stops unknown runs. */
 export function reconcile(
     options: ReconcileOptions,
     worker: entries.WorkerEntry,
-    lists: workerSession.PollResult,
+    pollResult: workerSession.PollResult,
 ): void {
-    const { jobRegistry: taskBook } = options;
-    const present = new Set<entries.TaskEntry>();
-    let strangers = 0;
-    for (const told of lists.running) {
-        const task = taskBook.getTask(told.task);
-        if (task?.worker === worker && task.run === told.run) {
-            present.add(task);
-            taskBook.recordProgress(task, told);
+    const { jobRegistry: jobs } = options;
+    const listed = new Set<entries.TaskEntry>();
+    let unknownRunCount = 0;
+    for (const reported of pollResult.running) {
+        const task = jobs.getTask(reported.task);
+        if (task?.worker === worker && task.run === reported.run) {
+            listed.add(task);
+            jobs.recordProgress(task, reported);
             continue;
         }
-        strangers++;
-        options.log.warn("strangerFound", { worker: worker.id, task: told.task, run: told.run });
-        options.stopUnknownRun(worker, told);
+        unknownRunCount++;
+        options.log.warn("strangerFound", { worker: worker.id, task: reported.task, run: reported.run });
+        options.stopUnknownRun(worker, reported);
     }
-    worker.unknownRunCount = strangers;
-    for (const end of lists.ended) {
-        taskBook.recordRunEnd(worker, end);
+    worker.unknownRunCount = unknownRunCount;
+    for (const end of pollResult.ended) {
+        jobs.recordRunEnd(worker, end);
     }
-    if (lists.isEndListComplete) {
-        settleMissing(options, worker, lists.sentAt, present);
+    if (pollResult.isEndListComplete) {
+        handleMissingRuns(options, worker, pollResult.sentAt, listed);
     }
 }
 
 /**
- * A task that the worker neither runs nor lists as ended has not begun there. That is certain only of a look sent
- * after the worker confirmed the order, or accepted a stop, after which it refuses the run if the order comes late.
+ * Handles tasks that the worker lists neither as running nor as ended, so that their run does not exist there. This is
+ * certain only if the poll was sent after the worker confirmed the start, or after it accepted a stop: from then on it
+ * refuses a delayed start of the run.
  */
-function settleMissing(
+function handleMissingRuns(
     options: ReconcileOptions,
     worker: entries.WorkerEntry,
     sentAt: number,
-    present: ReadonlySet<entries.TaskEntry>,
+    listed: ReadonlySet<entries.TaskEntry>,
 ): void {
     for (const task of [...worker.tasks]) {
-        if (present.has(task)) {
+        if (listed.has(task)) {
             continue;
         }
         switch (task.phase) {
             case "running":
             case "done":
                 if (task.runningSince < sentAt) {
-                    settleOne(options, worker, task);
+                    handleMissingRun(options, worker, task);
                 }
                 break;
             case "stopping":
@@ -81,9 +83,9 @@
     }
 }
 
-function settleOne(options: ReconcileOptions, worker: entries.WorkerEntry, task: entries.TaskEntry): void {
+function handleMissingRun(options: ReconcileOptions, worker: entries.WorkerEntry, task: entries.TaskEntry): void {
     if (task.phase === "done") {
-        // A gang's other member has ended for it.
+        // Another member's end has completed the gang.
         options.jobRegistry.revertPlacement(task);
         return;
     }
