--- a/src/leader/__tests__/crashAttribution.test.ts
+++ b/src/leader/__tests__/crashAttribution.test.ts
@@ -17,7 +17,7 @@
     return worker;
 }
 
-/** Adds a task of a job of its own, which was confirmed at once and which its worker reported for `seenMs`. */
+/** Adds a task of a job of its own, which was confirmed at once and which its worker reported for `observedMs`. */
 function addTask(
     worker: entries.WorkerEntry,
     observedMs: number,
--- a/src/leader/__tests__/orders.test.ts
+++ b/src/leader/__tests__/orders.test.ts
@@ -35,8 +35,8 @@
     },
 ];
 
-// Guards against starts on lost or changed workers: the poll before a start takes up to 0.6 s, in which the worker's last
-// report may become too old.
+// Guards against starts on lost or changed workers: the poll before a start takes up to 0.6 s, in which the worker's
+// last report may become too old.
 describe("a task that is placed", () => {
     test.each(cases)(
         "$name",
--- a/src/leader/__tests__/workerRegistry.test.ts
+++ b/src/leader/__tests__/workerRegistry.test.ts
@@ -91,7 +91,7 @@
     },
     {
         name:
-            "that was confirmed before the next incarnation was polled, and that it does not list, is lost with the first",
+            "that was confirmed before the next incarnation was polled, and is not listed there, is lost with the first",
         initial: { phase: "running", orderedAt: 10, runningSince: 20 },
         pollResult: createPollResult(100),
         phase: "waiting",
@@ -148,8 +148,8 @@
     },
 ];
 
-// Guards against a delayed start that the next incarnation carries out while the task runs elsewhere, and against crashes
-// that are not counted.
+// Guards against a delayed start that the next incarnation carries out while the task runs elsewhere, and against
+// crashes that are not counted.
 describe("when the next incarnation of a worker answers, a run", () => {
     test.each(cases)("$name", ({ initial, pollResult, phase, isOnNextIncarnation, crashBudgetUsed }) => {
         const { registry, first, task, stops } = openRegistry();
--- a/src/leader/__tests__/workerSession.test.ts
+++ b/src/leader/__tests__/workerSession.test.ts
@@ -32,7 +32,9 @@
     });
 }
 
-/** Opens a session with a worker whose clock runs at the given rate; returns the deadlines of the starts that it got. */
+/**
+ * Opens a session with a worker whose clock runs at the given rate; returns the deadlines of the starts that it got.
+ */
 async function openSession(rate: number) {
     const time = clocks.createManualClock();
     const deadlines: number[] = [];
@@ -51,8 +53,8 @@
     return { time, session, deadlines, getWorkerClock };
 }
 
-// Guards against a start that is carried out after its lease counts as expired, because a slow clock made its deadline too
-// late.
+// Guards against a start that is carried out after its lease counts as expired, because a slow clock made its deadline
+// too late.
 describe("a start sent after a long idle time", () => {
     const idle: readonly number[] = [0, 20_000, 3_600_000];
     test.each(idle)("of %d ms has expired when the leader expects it, with a clock that is 2%% slow", async idleMs => {
--- a/src/leader/crashAttribution.ts
+++ b/src/leader/crashAttribution.ts
@@ -2,9 +2,9 @@
  * Attributes the loss of a worker to the runs that it had.
  *
  * A task may crash every worker that starts it. But a worker has several tasks, and workers also crash by themselves or
- * with their rack, or are merely unreachable. A crash is certain for a run that had just begun on a worker that restarted,
- * if no other cause is known. Every other run that may have crashed its worker counts as a possible crash: otherwise a
- * crashing task would never be given up where many workers crash.
+ * with their rack, or are merely unreachable. A crash is certain for a run that had just begun on a worker that
+ * restarted, if no other cause is known. Every other run that may have crashed its worker counts as a possible crash:
+ * otherwise a crashing task would never be given up where many workers crash.
  */
 import type * as clock from "../clock/index";
 import * as crashHistory from "./crashHistory";
@@ -43,7 +43,10 @@
     getWorkers(): Iterable<entries.WorkerEntry>;
     /** Expected duration of a run of the step's tasks, in milliseconds. */
     estimateRunMs(step: entries.StepEntry): number;
-    /** Called for each task of a loss after it was attributed again; `hasChanged` tells whether the task's counts changed. */
+    /**
+     * Called for each task of a loss after it was attributed again; `hasChanged` tells whether the task's counts
+     * changed.
+     */
     onReviewed(task: entries.TaskEntry, hasChanged: boolean): void;
 }
 
--- a/src/leader/crashHistory.ts
+++ b/src/leader/crashHistory.ts
@@ -1,9 +1,9 @@
 /**
  * Counts the worker crashes that a task may have caused.
  *
- * How often a task has crashed its worker is known only within bounds: a run may have ended before its worker crashed, or
- * may never have begun. So two counts are kept. The lower bound decides when the job is reported as failed, the upper
- * bound when a further start would exceed the limit.
+ * How often a task has crashed its worker is known only within bounds: a run may have ended before its worker crashed,
+ * or may never have begun. So two counts are kept. The lower bound decides when the job is reported as failed, the
+ * upper bound when a further start would exceed the limit.
  */
 
 /** Crash counts as stored in the task's row. */
@@ -18,7 +18,10 @@
 export const Certainty = {
     /** The run may not have begun, or its worker may not have crashed, or the whole rack failed. */
     None: 0,
-    /** The worker confirmed the run and has crashed since; the run may have ended before, or other runs may be the cause. */
+    /**
+     * The worker confirmed the run and has crashed since; the run may have ended before, or other runs may be the
+     * cause.
+     */
     Likely: 0.5,
     /** The run was running, had just begun, and no other cause is known. */
     Certain: 1,
@@ -56,8 +59,8 @@
 /** Number of possible crashes from which a task is isolated from other runs that have just begun. */
 const MIN_SUSPECT_CRASHES = 3;
 /**
- * A crashing task crashes its workers at about the same age. If a run has survived a loss's maximum age by this much, the
- * task did not cause that crash.
+ * A crashing task crashes its workers at about the same age. If a run has survived a loss's maximum age by this much,
+ * the task did not cause that crash.
  */
 const CRASH_AGE_TOLERANCE_MS = 2_500;
 
@@ -68,7 +71,9 @@
     return { stored, losses: [], chargedStarts: 0, isStartCharged: false, longestRunMs: 0 };
 }
 
-/** Restores the history of a stored task; `isPlaced` if it has a run whose start may be charged in the stored counts. */
+/**
+ * Restores the history of a stored task; `isPlaced` if it has a run whose start may be charged in the stored counts.
+ */
 export function restoreCrashHistory(stored: CrashCounts, isPlaced: boolean): CrashHistory {
     const crashBudgetUsed = stored.crashBudgetUsed - 1;
     if (!isPlaced || crashBudgetUsed < CRASHES_BEFORE_CHARGE) {
--- a/src/leader/entries.ts
+++ b/src/leader/entries.ts
@@ -10,8 +10,8 @@
  * - recording: a worker is chosen and the row that names it is being written; no start order has been sent.
  * - ordered: the start order has been sent and is not yet answered.
  * - running: the worker has confirmed the run.
- * - stopping: a stop is requested, or it is unknown whether the run exists. Its capacity stays reserved until its end is
- *   confirmed.
+ * - stopping: a stop is requested, or it is unknown whether the run exists. Its capacity stays reserved until its end
+ *   is confirmed.
  * - done: completed successfully; the run may still occupy its worker until the worker has reported its end.
  */
 export type TaskPhase = "waiting" | "recording" | "ordered" | "running" | "stopping" | "done";
@@ -54,8 +54,8 @@
     /** Number of preemptions by more urgent work. */
     preemptions: number;
     /**
-     * The worker's rough measurement over the last half second: the tail latency of a latency-sensitive task in milliseconds,
-     * otherwise processor use.
+     * The worker's rough measurement over the last half second: the tail latency in milliseconds of a latency-sensitive
+     * task, otherwise processor use.
      */
     recentFigure: number;
     /** Percentage of full speed to which the task was last throttled; `undefined` if an earlier leader set it. */
@@ -110,7 +110,7 @@
     readonly occurrences: Map<number, OccurrenceEntry>;
     rowVersion: number;
     endedAt: number;
-    /** Monotonic time at which the leader learned of the job, in milliseconds. */
+    /** Monotonic time at which this leader learned of the job, in milliseconds. */
     readonly learnedAt: number;
 }
 
@@ -154,7 +154,9 @@
     drainingSince: number | undefined;
     readonly tasks: Set<TaskEntry>;
     readonly used: decisions.MutableResources;
-    /** Number of runs on the worker that the job registry does not hold; no task is started there until they have ended. */
+    /**
+     * Number of runs on the worker that the job registry does not hold; no task is started there until they have ended.
+     */
     unknownRunCount: number;
     /**
      * Runs by task name whose start orders got no answer. They may still be carried out, even by the next incarnation.
--- a/src/leader/failingWorkers.ts
+++ b/src/leader/failingWorkers.ts
@@ -14,8 +14,8 @@
 /** Covers the round trip to the worker and the time that a loaded leader takes to read the answer. */
 const MIN_EARLY_FAILURE_MS = 100;
 /**
- * A step may quarantine this many workers, or as many as this share of its running tasks. Beyond that the step itself is
- * probably at fault, and each of its tasks would quarantine another worker.
+ * A step may quarantine this many workers, or as many as this share of its running tasks. Beyond that the step itself
+ * is probably at fault, and each of its tasks would quarantine another worker.
  */
 const MIN_QUARANTINES_PER_STEP = 2;
 const QUARANTINE_SHARE = 0.2;
--- a/src/leader/incarnation.ts
+++ b/src/leader/incarnation.ts
@@ -1,7 +1,7 @@
 /**
- * Identifies the incarnations of a worker. A worker may restart under its name: the next incarnation knows nothing of the
- * one before, and its end numbers, its clock and its fencing token start anew. So everything that is known of a worker
- * holds for one incarnation.
+ * Identifies the incarnations of a worker. A worker may restart under its name: the next incarnation knows nothing of
+ * the one before, and its end numbers, its clock and its fencing token start anew. So everything that is known of a
+ * worker holds for one incarnation.
  */
 
 /** One incarnation of a worker. */
--- a/src/leader/knownServices.ts
+++ b/src/leader/knownServices.ts
@@ -12,7 +12,9 @@
     readonly catalog: Pick<catalogs.CurrentCatalog, "get">;
     readonly log: observe.Log;
     readonly meter: observe.Meter;
-    /** Whether the worker may have tasks: its service may have been removed from the configuration since their start. */
+    /**
+     * Whether the worker may have tasks: its service may have been removed from the configuration since their start.
+     */
     isInUse(workerId: string): boolean;
 }
 
--- a/src/leader/leaseExpiry.ts
+++ b/src/leader/leaseExpiry.ts
@@ -8,8 +8,8 @@
 const MAX_TRANSIT_MS = 300;
 
 /**
- * Returns the time, on the leader's clock, by which a lease of at most `maxLeaseMs` has expired; `grantedAt` is the latest
- * time at which any leader can have granted or renewed it.
+ * Returns the time, on the leader's clock, by which a lease of at most `maxLeaseMs` has expired; `grantedAt` is the
+ * latest time at which any leader can have granted or renewed it.
  */
 export function getExpiresAt(grantedAt: number, maxLeaseMs: number): number {
     return grantedAt + maxLeaseMs * MAX_LEASE_STRETCH + MAX_TRANSIT_MS;
--- a/src/leader/lostRuns.ts
+++ b/src/leader/lostRuns.ts
@@ -56,8 +56,8 @@
 }
 
 /**
- * Returns the latest time at which the worker's incarnation can have ended. A broken connection gives that time unless the
- * run was reported later.
+ * Returns the latest time at which the worker's incarnation can have ended. A broken connection gives that time unless
+ * the run was reported later.
  */
 function getEndedBy(
     task: entries.TaskEntry,
--- a/src/leader/orders.ts
+++ b/src/leader/orders.ts
@@ -44,20 +44,20 @@
     closeRun(worker: entries.WorkerEntry, task: string, run: number): void;
 }
 
-/** Quarantine after a refused start. A worker without capacity has runs that the job registry does not know until the next poll. */
+/** Quarantine after a refused start: a worker without capacity may have unknown runs, which its next poll lists. */
 const REFUSAL_QUARANTINE_MS = 500;
 const STOP_RETRY_MS = 200;
 /**
- * More concurrent starts would only wait for the leader's processor while their timeouts run: a leader with a third of a
- * core would stop healthy runs whose answers it has not read in time.
+ * More concurrent starts would only wait for the leader's processor while their timeouts run: a leader with a third of
+ * a core would stop healthy runs whose answers it has not read in time.
  */
 const MAX_STARTS_IN_FLIGHT = 32;
 /** Time to resolve a start without an answer, even if one poll is lost; gang members wait 3 s for each other. */
 const UNANSWERED_TIMEOUT_MS = 1_000;
 
 /**
- * Checks that the worker is reachable if the task may have crashed earlier ones. A start on a worker that is already down
- * would count as one more possible crash of the task.
+ * Checks that the worker is reachable if the task may have crashed earlier ones. A start on a worker that is already
+ * down would count as one more possible crash of the task.
  */
 async function checkReachable(
     task: entries.TaskEntry,
@@ -167,8 +167,8 @@
 
     /**
      * Resolves a start without an answer, which was often carried out all the same. A poll shows whether the run is
-     * listed; if not, it is stopped, and the worker then refuses a delayed start order. Stopping at once would throw away
-     * healthy runs whenever answers are slow.
+     * listed; if not, it is stopped, and the worker then refuses a delayed start order. Stopping at once would throw
+     * away healthy runs whenever answers are slow.
      */
     const resolveUnanswered = async (task: entries.TaskEntry, worker: entries.WorkerEntry) => {
         const { run } = task;
--- a/src/leader/slowWorkers.ts
+++ b/src/leader/slowWorkers.ts
@@ -1,4 +1,6 @@
-/** Detects from the progress of its tasks that a worker has become slow, and stops tasks that finish sooner elsewhere. */
+/**
+ * Detects from the progress of its tasks that a worker has become slow, and stops tasks that finish sooner elsewhere.
+ */
 import * as decisions from "../decisions/index";
 import type * as observe from "../observe/index";
 import type * as entries from "./entries";
--- a/src/leader/taskWatchdog.ts
+++ b/src/leader/taskWatchdog.ts
@@ -13,9 +13,9 @@
 /** Upper bound of the time that a stop and the recording of its end take, before the worker leaves. */
 const LEAVE_MARGIN_MS = 700;
 /**
- * A task hangs if its worker reports no progress for this share of its expected duration. Progress is in whole percent, so
- * a healthy task advances at least once per hundredth of its duration; this bound tolerates work that is fifteen times
- * slower than expected.
+ * A task hangs if its worker reports no progress for this share of its expected duration. Progress is in whole percent,
+ * so a healthy task advances at least once per hundredth of its duration; this bound tolerates work that is fifteen
+ * times slower than expected.
  */
 const HANG_TIMEOUT_SHARE = 0.15;
 /** Minimum for short tasks: two polls, usually one second apart, and the delay of their answers. */
@@ -27,10 +27,15 @@
 const STALL_BACKOFF_FACTOR = 2;
 /** Quarantine of a worker with a hanging task. */
 const HANG_QUARANTINE_MS = 6_000;
-/** Maximum poll wait while best-effort tasks run beside latency-sensitive tasks, whose measurements are needed this often. */
+/**
+ * Maximum poll wait while best-effort tasks run beside latency-sensitive tasks, whose measurements are needed this
+ * often.
+ */
 const SHARING_POLL_WAIT_MS = 700;
 
-/** Maximum poll wait while a suspect task is unsettled, since nothing else starts on the worker until it has settled. */
+/**
+ * Maximum poll wait while a suspect task is unsettled, since nothing else starts on the worker until it has settled.
+ */
 const SETTLING_POLL_WAIT_MS = 300;
 
 /** Returns how long a poll of the worker may wait, at most `maxMs`. */
@@ -110,8 +115,8 @@
 }
 
 /**
- * Whether the task has finished its share of a gang and waits for slower members. Gang members end together, so without
- * this rule gangs on healthy workers would be stopped as hanging again and again.
+ * Whether the task waits for slower members of its gang: it has reached 100 percent and all members are running. Gang
+ * members end together, so without this rule gangs on healthy workers would be stopped as hanging again and again.
  */
 function waitsForOthers(task: entries.TaskEntry): boolean {
     const { step } = task;
--- a/src/leader/workerLosses.ts
+++ b/src/leader/workerLosses.ts
@@ -104,8 +104,8 @@
         }
     };
     /**
-     * Stops the run on the next incarnation, which then refuses a start order that arrives late. The task is not requeued
-     * before that.
+     * Stops the run on the next incarnation, which then refuses a start order that arrives late. The task is not
+     * requeued before that.
      */
     const stopOnIncarnation = (next: entries.WorkerEntry, task: entries.TaskEntry) => {
         task.phase = "stopping";
@@ -179,8 +179,8 @@
 }
 
 /**
- * Whether the next incarnation may still receive the start order of a run that it does not list: the previous incarnation
- * never reported the run, and the start order was not answered before the next incarnation was polled.
+ * Whether the next incarnation may still receive the start order of a run that it does not list: the previous
+ * incarnation never reported the run, and the start order was not answered before the next incarnation was polled.
  */
 function mayReachNextIncarnation(task: entries.TaskEntry, pollResult: workerSession.PollResult | undefined): boolean {
     switch (task.phase) {
--- a/src/leader/workerRegistry.ts
+++ b/src/leader/workerRegistry.ts
@@ -1,7 +1,7 @@
 /**
- * The workers that the leader knows from the directory, stored rows and answers, one entry per incarnation. Decides which
- * incarnation of a worker is the current one, and passes on to it the orders that may have reached it instead of its
- * predecessor.
+ * The workers that the leader knows from the directory, stored rows and answers, one entry per incarnation. Decides
+ * which incarnation of a worker is the current one, and passes on to it the orders that may have reached it instead of
+ * its predecessor.
  */
 import type * as clock from "../clock/index";
 import type * as observe from "../observe/index";
--- a/src/leader/workerSession.ts
+++ b/src/leader/workerSession.ts
@@ -1,8 +1,8 @@
 /**
  * The leader's session with one worker incarnation: polls that renew leases and return ends, and orders.
  *
- * A loop polls as long as the worker has tasks or unacknowledged ends. A poll waits at the worker for the next end, so an
- * end is known at once, and an idle worker is not polled.
+ * A loop polls as long as the worker has tasks or unacknowledged ends. A poll waits at the worker for the next end, so
+ * an end is known at once, and an idle worker is not polled.
  */
 import type * as clock from "../clock/index";
 import type * as observe from "../observe/index";
@@ -111,7 +111,8 @@
     const learnClock = (value: number | undefined) => {
         if (value !== undefined && value > 0) {
             // The reading is older than its arrival, so the clock is never overestimated, and a deadline computed from
-            // it is never too late. Counting from when the poll was sent would be wrong: it may have waited for seconds.
+            // it is never too late. Counting from when the poll was sent would be wrong: it may have waited for
+            // seconds.
             workerClock = { value, readAt: time.now() };
         }
     };
@@ -160,8 +161,8 @@
     };
     const hasUnacknowledgedEnds = () => recordedUpTo > acknowledgedUpTo;
     /**
-     * An acknowledgement names end numbers, and the incarnation that receives it may be the next one. It is safe as long as
-     * that one cannot have an end yet: no start was sent since this incarnation last answered.
+     * An acknowledgement names end numbers, and the incarnation that receives it may be the next one. It is safe as
+     * long as that one cannot have an end yet: no start was sent since this incarnation last answered.
      */
     const mayAcknowledge = () => isReachable && startsInFlight === 0 && lastAnsweredPollAt > lastStartAt;
     const poll = async (waitMs: number): Promise<boolean> => {
@@ -363,8 +364,8 @@
 }
 
 /**
- * Minimum interval of polls while ends are not recorded, for example during an outage of the store. Such polls only renew
- * the leases, of which the shortest is 6 s; without the bound they would follow each other without a pause.
+ * Minimum interval of polls while ends are not recorded, for example during an outage of the store. Such polls only
+ * renew the leases, of which the shortest is 6 s; without the bound they would follow each other without a pause.
  */
 const MIN_UNRECORDED_POLL_INTERVAL_MS = 1_000;
 /** The loop of an idle worker is woken by its next order; this bounds the delay if a wake-up is missed. */
