--- a/src/liveness/__tests__/liveness.test.ts
+++ b/src/liveness/__tests__/liveness.test.ts
@@ -1,26 +1,26 @@
 import * as clocks from "../../clock/index";
 import * as liveness from "../index";
 
-/** Below 32,768: above it the system may give the port to any outgoing connection. */
+/** Below 32,768: the system may assign higher ports to outgoing connections. */
 const CLOSED_PORT = 20_000 + (process.pid % 12_000);
 
 describe("liveness of a process", () => {
     const clock = clocks.createSystemClock();
     let leading = false;
 
-    test("a process whose connections close and that refuses new ones is gone", async () => {
+    test("a process whose connections close and that refuses new ones has exited", async () => {
         const server = liveness.createLivenessServer({ clock, isLeading: () => leading });
         const address = `127.0.0.1:${await server.listen("127.0.0.1:0")}`;
         const gone = new Promise<void>(resolve => {
             liveness.watchProcess({ clock, address, ownAddress: "", onExit: resolve });
         });
-        // The watch needs a moment to connect; closing before that would prove nothing.
+        // The watch must be connected before the server closes.
         await new Promise(resolve => setTimeout(resolve, 100));
         server.close();
         await gone;
     });
 
-    test("a refusal alone says nothing: the process may not have started yet", async () => {
+    test("a refusal without an earlier connection is no exit: the process may not have started yet", async () => {
         let told = false;
         const watch = liveness.watchProcess({
             clock,
@@ -35,7 +35,7 @@
         expect(told).toBe(false);
     });
 
-    test("a process learns where its watchers can be reached", async () => {
+    test("a process learns the addresses of its watchers", async () => {
         const server = liveness.createLivenessServer({ clock, isLeading: () => leading });
         const address = `127.0.0.1:${await server.listen("127.0.0.1:0")}`;
         const ends = ["10.0.0.1:7001", "no address", "10.0.0.2:7001"].map(ownAddress =>
@@ -49,7 +49,7 @@
         expect([...server.getWatcherAddresses()].sort()).toEqual(["10.0.0.1:7001", "10.0.0.2:7001"]);
     });
 
-    test("a leader sends heartbeats, and no other does", async () => {
+    test("only a leader sends heartbeats", async () => {
         leading = false;
         const server = liveness.createLivenessServer({ clock, isLeading: () => leading });
         const address = `127.0.0.1:${await server.listen("127.0.0.1:0")}`;
--- a/src/liveness/index.ts
+++ b/src/liveness/index.ts
@@ -1,3 +1,3 @@
-/** Whether another instance's process is gone for certain, told by its connections. */
+/** Detects by its connections that another instance's process has exited. */
 export { type ProcessWatch, type ProcessWatchOptions, watchProcess } from "./processWatch";
 export { createLivenessServer, type LivenessServer } from "./server";
--- a/src/liveness/processWatch.ts
+++ b/src/liveness/processWatch.ts
@@ -1,9 +1,10 @@
 /**
- * Watches another instance's process over a connection on which the watcher says its own address, and a leader sends heartbeats.
+ * Watches another instance's process over a connection, on which the watcher sends its own address and a leader sends
+ * heartbeats.
  *
- * When a process dies, its system closes its connections and refuses new ones. So a connection that had come about
- * and was closed, followed by a refusal, means that the process is gone, long before its lease lapses. A machine
- * without power or behind a cut refuses nothing; only the heartbeats of such a one stay away.
+ * When a process exits, its operating system closes its connections and refuses new ones. So an established connection
+ * that closes, followed by a refusal, means that the process has exited, long before its lease expires. A machine that
+ * has lost power or is partitioned refuses nothing; only its heartbeats stop.
  */
 import * as net from "node:net";
 import type * as clock from "../clock/index";
@@ -12,18 +13,18 @@
     readonly clock: clock.Clock;
     /** `IP:PORT` of the process's liveness server. */
     readonly address: string;
-    /** Where this process takes requests that others pass on: the watched one may need it. Empty: nowhere. */
+    /** Address at which this process accepts forwarded requests, for the watched process; empty if it accepts none. */
     readonly ownAddress: string;
-    /** Called once, when the process is gone. */
+    /** Called once, when the process has exited. */
     onExit(): void;
 }
 
-/** Between tries to connect while it is not known whether the process lives. */
+/** Delay between attempts to connect while it is unknown whether the process is running. */
 const RETRY_MS = 300;
 const CONNECT_TIMEOUT_MS = 1_000;
 
 export interface ProcessWatch {
-    /** Milliseconds since the latest heartbeat; `undefined` where none has come yet. */
+    /** Milliseconds since the latest heartbeat; `undefined` if none has been received. */
     getHeartbeatAgeMs(): number | undefined;
     end(): void;
 }
--- a/src/liveness/server.ts
+++ b/src/liveness/server.ts
@@ -1,32 +1,32 @@
-/** Holds the connections of instances that watch this process; each says once where it can be reached itself. */
+/** Holds the connections of instances that watch this process. Each sends its own address once. */
 import * as net from "node:net";
 import * as calls from "../calls/index";
 import type * as clock from "../clock/index";
 
 export interface LivenessServerOptions {
     readonly clock: clock.Clock;
-    /** While it holds, watchers get heartbeats. */
+    /** Heartbeats are sent while this returns true. */
     isLeading(): boolean;
 }
 
 export interface LivenessServer {
-    /** Takes `IP:PORT`, port 0 for any free one; returns the port. */
+    /** Listens on `IP:PORT`, where port 0 stands for any free port; returns the port. */
     listen(address: string): Promise<number>;
-    /** Addresses that watchers have named, the latest first; those of watchers that have gone since may be among them. */
+    /** Addresses that watchers have sent, latest first, including those of watchers that have disconnected since. */
     getWatcherAddresses(): readonly string[];
     close(): void;
 }
 
-/** Ends connections of watchers that are gone without a word. */
+/** Detects watchers that have disappeared without closing their connection. */
 const KEEP_ALIVE_MS = 5_000;
-/** Watchers move on to the next leader just when their addresses are needed; so many are remembered. */
-const MOST_WATCHERS = 8;
-/** `IP:PORT` and a line end. */
-const MOST_GREETING_BYTES = 64;
+/** Remembered addresses: watchers move on to the next leader just when their addresses are needed. */
+const MAX_WATCHERS = 8;
+/** `IP:PORT` and a newline. */
+const MAX_GREETING_BYTES = 64;
 
-/** Three of them fit into the silence that makes a follower doubt (`src/leader/lease.ts`). */
+/** Three heartbeats fit into the silence after which a follower suspects the leader (`src/leader/holderMonitor.ts`). */
 const HEARTBEAT_MS = 200;
-/** Bounds what heartbeats cost the leader of a large site; watchers beyond wait for the lease, as without them. */
+/** Bounds the cost of heartbeats on a large site; further watchers wait for the expiry of the lease. */
 const MAX_HEARTBEAT_WATCHERS = 40;
 const HEARTBEAT = "\n";
 
@@ -43,9 +43,9 @@
     const server = net.createServer({ keepAlive: true, keepAliveInitialDelay: KEEP_ALIVE_MS }, socket => {
         open.add(socket);
         readGreeting(socket, address => {
-            watchers = [address, ...watchers.filter(other => other !== address)].slice(0, MOST_WATCHERS);
+            watchers = [address, ...watchers.filter(other => other !== address)].slice(0, MAX_WATCHERS);
         });
-        // A watcher that is gone needs nothing from us; the next one opens its own connection.
+        // A failed connection needs no handling; the watcher reconnects.
         socket.on("error", () => socket.destroy());
         socket.on("close", () => open.delete(socket));
     });
@@ -64,7 +64,7 @@
     };
 }
 
-/** Reads the one line that a watcher sends; whatever else comes is dropped. */
+/** Reads the line that a watcher sends; further data is ignored. */
 function readGreeting(socket: net.Socket, onAddress: (address: string) => void): void {
     let text = "";
     let complete = false;
@@ -72,9 +72,9 @@
         if (complete) {
             return;
         }
-        text += chunk.toString("latin1", 0, MOST_GREETING_BYTES);
+        text += chunk.toString("latin1", 0, MAX_GREETING_BYTES);
         const match = /^([^\s:]+:\d{1,5})\n/.exec(text);
-        complete = Boolean(match) || text.length >= MOST_GREETING_BYTES;
+        complete = Boolean(match) || text.length >= MAX_GREETING_BYTES;
         if (match) {
             onAddress(match[1]!);
         }
