--- a/src/leader/__tests__/bestEffortPacing.test.ts
+++ b/src/leader/__tests__/bestEffortPacing.test.ts
@@ -1,29 +1,34 @@
 import * as fixtures from "../../scheduler/__tests__/fixtures";
-import * as sharing from "../bestEffortPacing";
+import * as bestEffortPacing from "../bestEffortPacing";
 import * as entries from "../entries";
 
 const TARGET_MS = 100;
 
 interface Case {
     readonly name: string;
-    /** The filler's pace as it is known; `undefined`: told by an earlier leader. */
+    /** The known pace of the best-effort task; `undefined` if an earlier leader set it. */
     readonly pacePercent: number | undefined;
-    /** Tail of the serving task beside it. */
+    /** Tail latency of the latency-sensitive task on the same worker. */
     readonly tailMs: number;
-    /** What the filler is told; `undefined`: nothing. */
+    /** Pace that is sent to the best-effort task; `undefined` if none is sent. */
     readonly told: number | undefined;
 }
 
 const cases: readonly Case[] = [
-    { name: "beyond the bound fillers stand still", pacePercent: 100, tailMs: 120, told: 0 },
-    { name: "near the bound they are halved", pacePercent: 80, tailMs: 90, told: 40 },
-    { name: "well below they are raised", pacePercent: 40, tailMs: 30, told: 50 },
-    { name: "in between they are left alone", pacePercent: 40, tailMs: 70, told: undefined },
-    { name: "at full pace there is nothing to tell", pacePercent: 100, tailMs: 30, told: undefined },
-    // Symptom: a filler stands still for good beside an idle serving task. Sequence: the leader that paced it down is
-    // succeeded. Cause: the successor took its pace for 100 percent, which leaves nothing to raise.
-    { name: "a pace that an earlier leader told is told anew", pacePercent: undefined, tailMs: 30, told: 10 },
-    { name: "the same beyond the bound", pacePercent: undefined, tailMs: 120, told: 0 },
+    { name: "beyond the target best-effort tasks are paused", pacePercent: 100, tailMs: 120, told: 0 },
+    { name: "near the target their pace is halved", pacePercent: 80, tailMs: 90, told: 40 },
+    { name: "well below the target their pace is raised", pacePercent: 40, tailMs: 30, told: 50 },
+    { name: "in between their pace is unchanged", pacePercent: 40, tailMs: 70, told: undefined },
+    { name: "at full pace no order is sent", pacePercent: 100, tailMs: 30, told: undefined },
+    // Guards against a best-effort task that stays paused beside an idle latency-sensitive task: a new leader that
+    // assumed a pace of 100 percent would have nothing to raise.
+    { name: "a pace that an earlier leader set is sent again", pacePercent: undefined, tailMs: 30, told: 10 },
+    {
+        name: "a pace that an earlier leader set is sent again beyond the target",
+        pacePercent: undefined,
+        tailMs: 120,
+        told: 0,
+    },
 ];
 
 describe("pace of fillers", () => {
@@ -53,7 +58,7 @@
         serving!.recentFigure = tailMs;
         filling!.pacePercent = pacePercent;
         const orders: Array<readonly [task: string, percent: number]> = [];
-        sharing.paceFillers(worker, (task, percent) => orders.push([task.name, percent]));
+        bestEffortPacing.paceFillers(worker, (task, percent) => orders.push([task.name, percent]));
         expect(orders).toEqual(told === undefined ? [] : [[filling!.name, told]]);
     });
 });
--- a/src/leader/__tests__/fixtures.ts
+++ b/src/leader/__tests__/fixtures.ts
@@ -5,7 +5,7 @@
 import * as work from "../../work/index";
 import * as entries from "../entries";
 import type * as heldLease from "../heldLease";
-import * as bookOfTasks from "../jobRegistry";
+import * as jobRegistries from "../jobRegistry";
 import type * as lostRuns from "../lostRuns";
 import * as thrownAway from "../thrownAway";
 
@@ -23,7 +23,7 @@
 
 export const LOG: observe.Log = { info: () => undefined, warn: () => undefined, error: () => undefined };
 
-/** A job of one task; `step` goes to its step. */
+/** A job of one task; `step` overrides fields of its step. */
 export function createSubmission(jobId: string, step: Partial<work.StepSpec> = {}): work.Submission {
     const spec = { ...work.DEFAULT_STEP, count: 1, needs: work.NO_RESOURCES, estimateMs: 1_000, ...step };
     return {
@@ -35,7 +35,7 @@
     };
 }
 
-/** The task of such a job. */
+/** The task of a job of `createSubmission`. */
 export function createTask(jobId: string, step: Partial<work.StepSpec> = {}): entries.TaskEntry {
     const job = entries.createJobEntry(createSubmission(jobId, step), QUEUE, 0);
     return entries.createOccurrenceEntry(job, 0, 0).steps[0]!.tasks[0]!;
@@ -43,7 +43,7 @@
 
 export const LIST_OPTIONS: lostRuns.ListOptions = { estimateRunMs: ({ spec }) => spec.estimateMs };
 
-/** A lease that is held for good. */
+/** A lease that never expires. */
 export const LEADERSHIP: heldLease.Leadership = {
     token: 1,
     guard: { table: "t", part: "", key: "k", version: 1 },
@@ -54,14 +54,14 @@
     predecessorsInactiveAt: 0,
 };
 
-/** An empty book; `stopWanted` is told of each task that is to be stopped. */
+/** An empty registry; `stopWanted` is called for each task that is to be stopped. */
 export function createJobRegistry(
     { getWorkers = () => [], stopWanted = () => undefined }: {
         getWorkers?(): Iterable<entries.WorkerEntry>;
         stopWanted?(task: entries.TaskEntry): void;
     } = {},
-): bookOfTasks.JobRegistry {
-    return bookOfTasks.createJobRegistry({
+): jobRegistries.JobRegistry {
+    return jobRegistries.createJobRegistry({
         clock: clocks.createManualClock(),
         log: LOG,
         meter: telemetry.createMetrics().meter,
--- a/src/leader/__tests__/handoverCalls.test.ts
+++ b/src/leader/__tests__/handoverCalls.test.ts
@@ -31,26 +31,26 @@
     };
 }
 
-describe("a term that is given up, between two processes", () => {
+describe("handover calls between two processes", () => {
     const answers: ReadonlyArray<readonly [name: string, candidacy: leader.Candidacy | undefined]> = [
-        ["that could lead", { power: 0.675 }],
-        ["that could not", undefined],
+        ["that can lead", { power: 0.675 }],
+        ["that cannot lead", undefined],
     ];
-    test.each(answers)("an instance %s says so", async (_name, candidacy) => {
+    test.each(answers)("an instance %s answers so", async (_name, candidacy) => {
         const other = await open(candidacy);
         expect(await other.port.queryCandidate(other.address, OFFER, TIMEOUT_MS)).toEqual(candidacy);
         await other.close();
         expect(other.asked).toEqual([OFFER]);
     });
 
-    test("the successor is told which term has ended", async () => {
+    test("the successor is notified of the term that has ended", async () => {
         const other = await open({ power: 1 });
         await other.port.notifySuccessor(other.address, OFFER, TIMEOUT_MS);
         await other.close();
         expect(other.taken).toEqual([OFFER]);
     });
 
-    test("an instance that is gone cannot lead", async () => {
+    test("an instance that does not answer cannot lead", async () => {
         const other = await open({ power: 1 });
         await other.close();
         const client = calls.createHttpClient(1);
@@ -60,7 +60,7 @@
     });
 
     const malformed = ["", "null", "{}", "{\"holder\":\"\",\"token\":1}", "{\"holder\":\"a\",\"token\":\"1\"}"];
-    test.each(malformed.map(text => ({ text })))("what cannot be read changes nothing: $text", async ({ text }) => {
+    test.each(malformed.map(text => ({ text })))("a malformed offer is refused: $text", async ({ text }) => {
         const other = await open({ power: 1 });
         for (const path of ["/lead/ask", "/lead/take", "/nowhere"]) {
             const outcome = await other.client.call({
--- a/src/leader/__tests__/lease.test.ts
+++ b/src/leader/__tests__/lease.test.ts
@@ -6,7 +6,7 @@
 
 const SILENT_LOG = { info: () => {}, warn: () => {}, error: () => {} };
 
-/** Instances that lead or would; `isCut` cuts the one of that name off from the store. */
+/** Instances that compete for the lease; `isCut` says which are cut off from the store. */
 function openInstances(names: readonly string[], isCut: (name: string, now: number) => boolean) {
     const clock = clocks.createManualClock(1_000_000);
     const store = emulator.createEmulatedStore({
@@ -41,16 +41,16 @@
     return { clock, terms, leases: names.map(open), tellGone: (name: string) => goneByWatcher.get(name)!() };
 }
 
-describe("an instance that is cut off", () => {
+describe("an instance that is cut off from the store", () => {
     const CUT_FROM_MS = 2_000;
     const CUT_UNTIL_MS = 7_000;
 
-    // Symptom: a leader that is well is succeeded as soon as the cut of another zone ends, and work is lost. Sequence: the
-    // cut resets the connections between the zones and refuses new ones. Cause: to an instance behind it that looks as if
-    // the holder's process were gone, and it believed so for ever, also when it saw the holder renew.
+    // Guards against a healthy leader that is replaced when the partition of another zone ends. The partition resets
+    // connections and refuses new ones, which looks like the exit of the holder's process. An instance must drop that
+    // report when it sees the holder renew the lease.
     test.each([
-        { name: "and told that the holder is gone leaves a holder alone that goes on", tellsGone: true },
-        { name: "and told nothing leaves it alone as well", tellsGone: false },
+        { name: "and was told that the holder has exited does not replace a holder that renews", tellsGone: true },
+        { name: "and was told nothing does not replace it either", tellsGone: false },
     ])("$name", async ({ tellsGone }) => {
         const site = openInstances(
             ["first", "second"],
--- a/src/leader/__tests__/progressWriter.test.ts
+++ b/src/leader/__tests__/progressWriter.test.ts
@@ -5,7 +5,7 @@
 import * as entries from "../entries";
 import * as progressWriter from "../progressWriter";
 
-/** A store whose answers the test gives by hand, in order. */
+/** A store whose answers the test gives explicitly, in order. */
 function createHeldStore() {
     const calls: Array<{ tx: rows.RowTransaction; answer: (result: rows.TransactResult) => void; }> = [];
     const store: rows.RowStore = {
@@ -16,7 +16,7 @@
     return { calls, store };
 }
 
-/** Of one step whose tasks have each saved `savedBytes`. */
+/** An occurrence of one step whose tasks have each saved `savedBytes`. */
 function createOccurrence(tasks = 0, savedBytes = 0, jobId = "j"): entries.OccurrenceEntry {
     const queue = {
         name: "q",
@@ -70,10 +70,10 @@
 }
 
 describe("progress writer", () => {
-    test("a flush waits for rows that were marked while an earlier write was under way", async () => {
-        // Symptom: after a takeover tasks that had ended well are started again. Sequence: a write is under way when an
-        // end is noted; that write succeeds, the end is acknowledged to the worker, and the leader dies before the
-        // next write. Cause: who waited for the second write was told of the first.
+    test("a flush waits for rows that were marked while an earlier write was in flight", async () => {
+        // Guards against completed tasks that start again after a takeover. An end is recorded while a write is in
+        // flight; if the flush resolves with that write, the worker forgets the end before it is stored, and a leader
+        // that fails then loses it.
         const { time, calls, writer } = open();
         const occurrence = createOccurrence();
         writer.markOccurrence(occurrence);
@@ -95,14 +95,14 @@
         expect(stored).toBe(true);
     });
 
-    test("a write without an answer is repeated under the versions that are there", async () => {
+    test("a write without an answer is retried with the versions in the store", async () => {
         const { time, calls, writer, deposed } = open();
         const occurrence = createOccurrence();
         writer.markOccurrence(occurrence);
         await time.advance(0);
         calls[0]!.answer({ kind: "unknown", message: "lost" });
         await time.advance(100);
-        // The first try was carried out after all: the second meets its row.
+        // The first attempt was applied, so the second conflicts with its row.
         const written = { ...calls[0]!.tx.puts[0]!, version: 8 };
         calls[1]!.answer({ kind: "conflict", rows: [{ ...GUARD, value: "" }, written] });
         await time.advance(0);
@@ -113,7 +113,7 @@
         expect(deposed).toEqual([]);
     });
 
-    test("another leader's token ends the term, and nothing counts as stored", async () => {
+    test("another leader's token ends the term, and the flush never resolves", async () => {
         const { time, calls, writer, deposed } = open();
         writer.markOccurrence(createOccurrence());
         let stored = false;
@@ -128,9 +128,9 @@
         expect(calls).toHaveLength(1);
     });
 
-    test("rows that are too long for one call are written in several, and a flush waits for all", async () => {
-        // Symptom: nothing is stored any more. Sequence: a pass starts tasks of many wide steps at once. Cause: their rows
-        // together are longer than a call may be, and the same call is turned away again and again.
+    test("rows that exceed the size of one call are written in several, and a flush waits for all", async () => {
+        // Guards against a writer that stops storing: a pass starts tasks of many wide steps at once, their rows exceed
+        // the size limit of a call, and the same call is refused forever.
         const { time, calls, writer } = open();
         const rowBytes = 45_000;
         for (let number = 0; number < 30; number++) {
--- a/src/leader/__tests__/renewals.test.ts
+++ b/src/leader/__tests__/renewals.test.ts
@@ -7,7 +7,7 @@
 const GUARD: rows.RowCondition = { ...TOKEN, version: 1 };
 const COMMITTED: rows.TransactResult = { kind: "committed", version: 5 };
 
-/** A store whose answers the test gives by hand. */
+/** A store whose answers the test gives explicitly. */
 function open() {
     const clock = clocks.createManualClock(0);
     const calls: Array<{
@@ -36,7 +36,7 @@
 }
 
 describe("renewals of a lease", () => {
-    test("ride on a write that goes out when one is due", async () => {
+    test("are combined with a write that is sent when one is due", async () => {
         const { clock, calls, store, renewals } = open();
         void renewals.transact(store, { puts: [{ ...TOKEN, key: "a", value: "" }] }, 900);
         await clock.advance(500);
@@ -45,7 +45,7 @@
         expect(renewals.getMsUntilDue()).toBe(500);
     });
 
-    test("do not ride on a write that has no room for them", async () => {
+    test("are not combined with a write that has no room for them", async () => {
         const { clock, calls, store, renewals } = open();
         await clock.advance(500);
         const puts = Array.from({ length: 99 }, (_, number) => ({ ...TOKEN, key: String(number), value: "" }));
@@ -54,9 +54,9 @@
         expect(renewals.getMsUntilDue()).toBe(0);
     });
 
-    // Symptom: a leader that is well loses its lease at a store that answers after a second. Sequence: each renewal is
-    // waited for until the next goes out, and only then counts. Cause: a renewal depended on the version of the last one.
-    test("go out while another is under way, and each counts from when it was sent", async () => {
+    // Guards against a healthy leader that loses its lease at a store that answers after a second: a renewal that is
+    // conditional on the version of the previous one must wait for its answer.
+    test("are sent while another is in flight, and each counts from when it was sent", async () => {
         const { clock, calls, store, renewals } = open();
         await clock.advance(500);
         renewals.send(store);
@@ -71,9 +71,9 @@
     });
 
     const cases = [
-        { name: "as long as usual at a store that answers at once", answersAfterMs: 10, leaseMs: 1_600 },
-        { name: "longer by two answers at one that is slow", answersAfterMs: 400, leaseMs: 2_400 },
-        { name: "four seconds at most", answersAfterMs: 3_000, leaseMs: 4_000 },
+        { name: "for the normal time at a store that answers at once", answersAfterMs: 10, leaseMs: 1_600 },
+        { name: "longer by two answer times at a slow store", answersAfterMs: 400, leaseMs: 2_400 },
+        { name: "for four seconds at most", answersAfterMs: 3_000, leaseMs: 4_000 },
     ];
     test.each(cases)("ask for a lease that lasts $name", async ({ answersAfterMs, leaseMs }) => {
         const { clock, calls, store, renewals, getLeaseMs } = open();
@@ -85,7 +85,7 @@
         expect(getLeaseMs(1)).toBe(leaseMs);
     });
 
-    test("end no sooner than the one before, also when the store is quick again", async () => {
+    test("end no sooner than the previous lease when the store is fast again", async () => {
         const { clock, calls, store, renewals, getLeaseMs } = open();
         renewals.send(store);
         await clock.advance(1_000);
@@ -100,9 +100,9 @@
         expect(getLeaseMs(2)).toBe(3_100);
     });
 
-    // Symptom: a leader that is lost is waited for twice as long after some answers of the store were lost. Cause: a
-    // renewal without an answer was taken for a slow store, beside calls that were answered at once.
-    test("last as usual where an answer is lost and later ones come at once", async () => {
+    // Guards against a failover that takes twice as long after some answers of the store were lost: a renewal without
+    // an answer was taken for a slow store, although later calls were answered at once.
+    test("request a lease of normal duration if an answer is lost and later ones come at once", async () => {
         const { clock, calls, store, renewals, getLeaseMs } = open();
         await clock.advance(500);
         renewals.send(store);
--- a/src/leader/__tests__/thrownAway.test.ts
+++ b/src/leader/__tests__/thrownAway.test.ts
@@ -22,13 +22,25 @@
     readonly coreSeconds: number;
 }
 
-/** All end at 9 s. */
+/** All runs end at 9 s. */
 const cases: readonly Case[] = [
-    { name: "from its start on", orderedAt: 900, runningSince: 1_000, savedAt: 0, coreSeconds: 8 * CORES },
-    { name: "from what it saved last", orderedAt: 900, runningSince: 1_000, savedAt: 7_000, coreSeconds: 2 * CORES },
-    { name: "nothing, saved as it was stopped", orderedAt: 900, runningSince: 1_000, savedAt: 9_000, coreSeconds: 0 },
+    { name: "the time from its start", orderedAt: 900, runningSince: 1_000, savedAt: 0, coreSeconds: 8 * CORES },
     {
-        name: "from its order on, where that was never confirmed",
+        name: "the time from its last save",
+        orderedAt: 900,
+        runningSince: 1_000,
+        savedAt: 7_000,
+        coreSeconds: 2 * CORES,
+    },
+    {
+        name: "nothing if it saved when it was stopped",
+        orderedAt: 900,
+        runningSince: 1_000,
+        savedAt: 9_000,
+        coreSeconds: 0,
+    },
+    {
+        name: "the time from its order if the start was never confirmed",
         orderedAt: 8_000,
         runningSince: 1_000,
         savedAt: 0,
--- a/src/leader/__tests__/units.test.ts
+++ b/src/leader/__tests__/units.test.ts
@@ -6,11 +6,11 @@
 
 const COUNTED = { knownCrashes: 0, crashBudgetUsed: 4 };
 
-/** The cost of stopping a task that has been at work for two seconds. */
+/** The cost of stopping a task that has run for two seconds. */
 function getStopCost(crashes: crashHistory.CrashHistory): number {
-    const book = fixtures.createJobRegistry();
-    const job = book.addJob(fixtures.createSubmission("job", { estimateMs: 9_000 }));
-    book.releaseDueOccurrences();
+    const registry = fixtures.createJobRegistry();
+    const job = registry.addJob(fixtures.createSubmission("job", { estimateMs: 9_000 }));
+    registry.releaseDueOccurrences();
     const task = job.occurrences.get(0)!.steps[0]!.tasks[0]!;
     entries.assign(task, entries.createWorkerEntry(entries.createUnknownWorkerInfo("w")));
     Object.assign(task, { phase: "running", orderedAt: 0, runningSince: 0, crashes });
@@ -24,8 +24,8 @@
     return groups.get(task.name)!.group.costCoreSeconds;
 }
 
-// Guards against a sound task that is given up since it was stopped for others when each of its starts counted.
-test("a run whose start counts as a possible crash is dearer to stop", () => {
+// Guards against a healthy task that is given up because it was preempted while each of its starts counted.
+test("a run whose start counts as a possible crash costs more to stop", () => {
     const counted = getStopCost(crashHistory.restoreCrashHistory(COUNTED, true));
     const earlier = getStopCost(crashHistory.createCrashHistory({ ...COUNTED, crashBudgetUsed: 2 }));
     const none = getStopCost(crashHistory.createCrashHistory());
--- a/src/leader/__tests__/upkeepRows.test.ts
+++ b/src/leader/__tests__/upkeepRows.test.ts
@@ -4,12 +4,12 @@
 import * as upkeepRows from "../upkeepRows";
 import type * as stagesOfWave from "../upkeepStages";
 
-/** As the users' stores bound a row, less what base64 adds. */
+/** Row limit of the users' stores, without the overhead of base64. */
 const ROW_BYTES = 49_152;
 const WAVE = 7;
 const NOW = 5_000;
 
-/** Every third machine is ordered down, every third is done, and the others are still to come. */
+/** Every third machine is ordered down, every third is done, and the others are pending. */
 function createStages(machines: number): Map<string, stagesOfWave.MachineStage> {
     return new Map(Array.from({ length: machines }, (_, number): [string, stagesOfWave.MachineStage] => {
         const id = `m-${String(number).padStart(10, "0")}`;
@@ -23,10 +23,10 @@
 }
 
 describe("the stored orders of a wave", () => {
-    // Symptom: a wave of upkeep stands still. Sequence: it has more machines than one row has room for. Cause: all of
-    // its orders lay in one row, and the store refuses a longer one.
+    // Guards against a wave that does not proceed because it has more machines than one row has room for: all of its
+    // orders were in one row, which the store refused.
     test.each([0, 1, 33, 877, 4_800])(
-        "of %d machines are read as they were written, and every row is short",
+        "of %d machines are read as they were written, and no row exceeds the limit",
         async count => {
             const time = clocks.createManualClock(0);
             const store = emulator.createEmulatedStore({ clock: time, latencyMs: 5 });
@@ -46,7 +46,7 @@
             const options = { store: store.open("a"), leadership, timeoutMs: 700 };
             const stages = createStages(count);
             const writing = upkeepRows.writeStages(options, WAVE, stages);
-            // Of another wave, whose key begins alike.
+            // A row of another wave whose key has the same prefix.
             store.put({
                 table: "upkeep",
                 part: "leader",
@@ -60,7 +60,7 @@
             const read = await reading;
             const expected = new Map([...stages].map(([id, stage]): [string, stagesOfWave.MachineStage] => [
                 id,
-                // What is done is stored as ordered in an earlier life, and confirmed.
+                // A machine that is done is stored as a confirmed order to an earlier incarnation.
                 stage.kind === "done" ? { kind: "ordered", workerName: "", confirmedAt: NOW } : stage,
             ]));
             expect(read).toEqual(expected);
--- a/src/leader/__tests__/waitingCounts.test.ts
+++ b/src/leader/__tests__/waitingCounts.test.ts
@@ -6,7 +6,7 @@
 import * as renewals from "../renewals";
 import * as waitingCounts from "../waitingCounts";
 
-/** As the users' stores bound a row, less what base64 adds. */
+/** Row limit of the users' stores, without the overhead of base64. */
 const ROW_BYTES = 49_152;
 const ENTRY_BYTES = 14;
 
@@ -30,16 +30,16 @@
         expect(fitted.complete).toBe(counted === queues);
     });
 
-    test("leave out the queues with the fewest", () => {
+    test("omit the queues with the fewest waiting jobs", () => {
         expect(waitingCounts.truncateCounts({ a: 1, b: 300, c: 20 }, 17)).toEqual({
             counts: { b: 300, c: 20 },
             complete: false,
         });
     });
 
-    test("do not keep the leader from renewing its lease", async () => {
-        // Symptom: terms end a second after they began, one after another, while the store answers. Sequence: 5,000
-        // queues have waiting jobs. Cause: the lease's row holds their counts, and the store refuses so long a row.
+    test("do not prevent the leader from renewing its lease", async () => {
+        // Guards against terms that end a second after they began while the store answers: with 5,000 queues the counts
+        // in the row of the lease made it longer than the store accepts.
         const time = clocks.createManualClock(0);
         const store = emulator.createEmulatedStore({ clock: time, latencyMs: 5 });
         const stopping = new AbortController();
