--- a/src/leader/advice.ts
+++ b/src/leader/advice.ts
@@ -1,4 +1,4 @@
-/** Asks the adviser for the workers that may run a step, for queues whose tasks need a ticket to start. */
+/** Requests tickets from the adviser for queues whose tasks may start only on workers that the adviser allows. */
 import type * as clock from "../clock/index";
 import * as decisions from "../decisions/index";
 import type * as observe from "../observe/index";
@@ -15,27 +15,27 @@
 }
 
 export interface AdviceRequester {
-    /** Asks for steps that wait while the workers that they may use have no room for them. */
+    /** Requests tickets for each step that waits and does not fit on the workers for which it holds valid tickets. */
     requestAdvice(waiting: readonly units.UnitOfTasks[], placeable: readonly entries.WorkerEntry[]): void;
 }
 
-/** Workers named in one call: the adviser's time grows with each, and a job's objective allows for a call of 30. */
+/** Maximum workers per call: the adviser's response time grows with each, and a job's objective allows for 30. */
 const WORKERS_PER_CALL = 30;
-/** A ticket must outlast the way to the worker. */
+/** A ticket must still be valid when the start order reaches the worker. */
 const TICKET_MARGIN_MS = 400;
 const CALL_SLACK_MS = 1_500;
-/** After a call without a usable answer the step waits this long for the next. */
+/** Delay before the next call for a step after a call without a usable answer. */
 const RETRY_MS = 300;
 
 export function createAdviceRequester(options: AdviceRequesterOptions): AdviceRequester {
-    const asking = new Set<string>();
-    /** Workers that were asked about for a step and are not good for it; which ones are good does not change. */
-    const refused = new WeakMap<entries.StepEntry, Set<string>>();
+    const pendingSteps = new Set<string>();
+    /** Unsuitable workers by step. A worker's suitability for a step does not change. */
+    const unsuitableByStep = new WeakMap<entries.StepEntry, Set<string>>();
 
-    const call = async (name: string, step: entries.StepEntry, workers: readonly entries.WorkerEntry[]) => {
-        const terms = step.occurrence.job.queue.advice!;
+    const requestTickets = async (name: string, step: entries.StepEntry, workers: readonly entries.WorkerEntry[]) => {
+        const advice = step.occurrence.job.queue.advice!;
         const sentAt = options.clock.now();
-        const timeoutMs = terms.decideMs + terms.eachMs * workers.length + CALL_SLACK_MS;
+        const timeoutMs = advice.decideMs + advice.eachMs * workers.length + CALL_SLACK_MS;
         const result = await options.adviser.advise(name, workers.map(worker => worker.incarnation.name), timeoutMs);
         if (options.signal.aborted) {
             return;
@@ -45,24 +45,24 @@
             await options.clock.sleep(RETRY_MS, options.signal);
         }
         else {
-            const bad = refused.get(step) ?? new Set<string>();
-            workers.forEach(worker => bad.add(worker.id));
-            const asked = new Map(workers.map(worker => [worker.incarnation.name, worker.id]));
+            const unsuitable = unsuitableByStep.get(step) ?? new Set<string>();
+            workers.forEach(worker => unsuitable.add(worker.id));
+            const idsByName = new Map(workers.map(worker => [worker.incarnation.name, worker.id]));
             for (const good of result.suitable) {
-                const workerId = asked.get(good.workerName);
+                const workerId = idsByName.get(good.workerName);
                 if (workerId === undefined) {
                     continue;
                 }
-                bad.delete(workerId);
+                unsuitable.delete(workerId);
                 step.tickets.set(workerId, {
                     ticket: good.ticket,
-                    until: sentAt + (result.validMs || terms.validMs) - TICKET_MARGIN_MS,
+                    until: sentAt + (result.validMs || advice.validMs) - TICKET_MARGIN_MS,
                 });
             }
-            refused.set(step, bad);
+            unsuitableByStep.set(step, unsuitable);
             options.log.info("advised", { step: name, asked: workers.length, good: result.suitable.length });
         }
-        asking.delete(name);
+        pendingSteps.delete(name);
         options.onTicketsChanged();
     };
 
@@ -71,10 +71,10 @@
             const now = options.clock.now();
             for (const { unit, tasks } of waiting) {
                 const step = tasks[0]!.step;
-                if (!unit.allowedWorkerIds || asking.has(unit.step) || hasUsableRoom(unit, placeable)) {
+                if (!unit.allowedWorkerIds || pendingSteps.has(unit.step) || fitsOnTicketedWorkers(unit, placeable)) {
                     continue;
                 }
-                const bad = refused.get(step);
+                const bad = unsuitableByStep.get(step);
                 const candidates = placeable
                     .filter(worker => worker.info.service === unit.service && !bad?.has(worker.id))
                     .filter(worker =>
@@ -87,15 +87,15 @@
                 if (candidates.length === 0) {
                     continue;
                 }
-                asking.add(unit.step);
-                void call(unit.step, step, candidates);
+                pendingSteps.add(unit.step);
+                void requestTickets(unit.step, step, candidates);
             }
         },
     };
 }
 
-/** Whether workers whose tickets are at hand have room for the whole unit now. */
-function hasUsableRoom(unit: decisions.WaitingUnit, placeable: readonly entries.WorkerEntry[]): boolean {
+/** Whether the whole unit fits now on workers for which its step holds valid tickets. */
+function fitsOnTicketedWorkers(unit: decisions.WaitingUnit, placeable: readonly entries.WorkerEntry[]): boolean {
     let members = 0;
     for (const worker of placeable) {
         if (unit.allowedWorkerIds!.has(worker.id) && !unit.excludedWorkerIds.has(worker.id)) {
--- a/src/leader/bestEffortPacing.ts
+++ b/src/leader/bestEffortPacing.ts
@@ -1,28 +1,34 @@
-/** Keeps tasks that fill from slowing down the serving tasks beside them. */
+/** Limits the pace of best-effort tasks so that they do not slow down latency-sensitive tasks on the same worker. */
 import * as decisions from "../decisions/index";
 import type * as entries from "./entries";
 
-/** A change of pace smaller than this, in percent, is not worth an order. */
-const LEAST_CHANGE = 5;
+/** Minimum change of the pace, in percentage points, for which an order is sent. */
+const MIN_CHANGE = 5;
 
-/** After a look: decides the pace of the worker's fillers from the serving tasks' latest figures. */
+/**
+ * Called after each poll: decides the pace of the worker's best-effort tasks from the latency-sensitive tasks' latest
+ * tail latencies.
+ */
 export function paceFillers(
     worker: entries.WorkerEntry,
     setPace: (task: entries.TaskEntry, percent: number) => void,
 ): void {
     const running = [...worker.tasks].filter(task => task.phase === "running");
-    const fillers = running.filter(task => task.step.spec.fills);
-    if (fillers.length === 0) {
+    const bestEffortTasks = running.filter(task => task.step.spec.fills);
+    if (bestEffortTasks.length === 0) {
         return;
     }
-    const tailShares = running
+    const tailLatencyRatios = running
         .filter(task => task.step.spec.targetMs > 0)
         .map(task => task.recentFigure / task.step.spec.targetMs);
-    for (const task of fillers) {
-        const percent = decisions.decidePace({ currentPercent: task.pacePercent ?? 0, tailLatencyRatios: tailShares });
-        // After a takeover the pace is not known: whatever is decided is told.
+    for (const task of bestEffortTasks) {
+        const percent = decisions.decidePace({
+            currentPercent: task.pacePercent ?? 0,
+            tailLatencyRatios: tailLatencyRatios,
+        });
+        // The pace is unknown after a takeover, so the decision is always sent.
         const change = task.pacePercent === undefined ? Infinity : Math.abs(percent - task.pacePercent);
-        if (change >= LEAST_CHANGE || (percent === 0 && change > 0)) {
+        if (change >= MIN_CHANGE || (percent === 0 && change > 0)) {
             setPace(task, percent);
         }
     }
--- a/src/leader/directory.ts
+++ b/src/leader/directory.ts
@@ -1,21 +1,22 @@
-/** Port to the list of workers, which lags behind: a worker that is missing may run on, one that is listed may be dead. */
+/** Ports to the worker directory, which lags behind the workers, and to the adviser. */
 import type * as entries from "./entries";
 
+/** The directory is stale: a worker that is not listed may still run, and a listed one may have failed. */
 export interface WorkerDirectory {
-    /** Tells of all workers that are listed, at first and after each change, until the signal. */
+    /** Passes on all listed workers, initially and after each change, until the signal is aborted. */
     follow(signal: AbortSignal, onWorkers: (listed: readonly ListedWorker[]) => void): void;
 }
 
 export interface ListedWorker extends Omit<entries.WorkerInfo, "id"> {
-    /** Of the worker; its next life has it too. */
+    /** Name of the worker, the same in each of its incarnations. */
     readonly name: string;
-    /** When its life began, in Unix milliseconds; 0 where it does not tell. */
+    /** Start of its incarnation, in Unix milliseconds; 0 if the worker does not report it. */
     readonly startedAt: number;
-    /** Monotonic time after which the worker said so of itself. */
+    /** Monotonic time, in milliseconds, that is no later than the worker's own report of these values. */
     readonly reportedAt: number;
 }
 
-/** Port to the service that knows which workers may run a step of a queue with advice. */
+/** Workers that may run a step, as the adviser says. */
 export type AdviceResult =
     | {
         readonly kind: "advised";
@@ -24,6 +25,7 @@
     }
     | { readonly kind: "unavailable"; readonly message: string; };
 
+/** Port to the service that knows which workers may run a step of a queue with advice. */
 export interface Adviser {
     advise(step: string, workerNames: readonly string[], timeoutMs: number): Promise<AdviceResult>;
 }
--- a/src/leader/execution.ts
+++ b/src/leader/execution.ts
@@ -1,24 +1,24 @@
-/** Carries out what a pass has decided: stops, and starts whose rows are stored before any order goes out. */
+/** Executes the plan of a scheduling pass: requests stops, and starts tasks once their rows are stored. */
 import * as decisions from "../decisions/index";
 import type * as observe from "../observe/index";
 import type * as entries from "./entries";
-import type * as bookOfTasks from "./jobRegistry";
+import type * as jobRegistries from "./jobRegistry";
 import type * as ordersOfTerm from "./orders";
-import type * as contacts from "./reachabilityCheck";
+import type * as reachabilityCheck from "./reachabilityCheck";
 import type * as units from "./units";
 
 export interface ExecutionOptions {
-    readonly jobRegistry: bookOfTasks.JobRegistry;
+    readonly jobRegistry: jobRegistries.JobRegistry;
     readonly orders: ordersOfTerm.Orders;
-    readonly contact: contacts.ReachabilityCheck;
+    readonly contact: reachabilityCheck.ReachabilityCheck;
     readonly log: observe.Log;
     readonly meter: observe.Meter;
     getWorker(id: string): entries.WorkerEntry;
-    /** Resolves when all that has changed so far is stored. */
+    /** Resolves when all changes made so far are stored. */
     flush(): Promise<void>;
 }
 
-/** The plan, and what its units and groups stand for. */
+/** The plan, and the tasks behind its units and groups. */
 export interface PlannedPass {
     readonly plan: decisions.Plan;
     readonly waiting: readonly units.UnitOfTasks[];
@@ -40,7 +40,7 @@
 }
 
 function stopGroup(
-    { jobRegistry: book, log, meter }: ExecutionOptions,
+    { jobRegistry: registry, log, meter }: ExecutionOptions,
     { groups }: PlannedPass,
     stop: decisions.PlannedStop,
 ): void {
@@ -51,15 +51,15 @@
     log.info("preempting", { group: group.key, forUnit, claim, lossCoreSeconds: Math.round(group.lossCoreSeconds) });
     meter.increment("preemptions_total", { queue });
     meter.increment("preempted_core_seconds_total", { queue }, group.lossCoreSeconds);
-    tasks.forEach(task => book.requestStop(task, `preempted (${claim}) for ${forUnit}`));
+    tasks.forEach(task => registry.requestStop(task, `preempted (${claim}) for ${forUnit}`));
 }
 
 function placeUnit(
-    { jobRegistry: book, log, meter, getWorker }: ExecutionOptions,
+    { jobRegistry: registry, log, meter, getWorker }: ExecutionOptions,
     { unit, workerIds }: decisions.PlannedStart,
     tasks: readonly entries.TaskEntry[],
 ): ordersOfTerm.PlacedTask[] {
-    book.place(tasks, workerIds.map(getWorker));
+    registry.place(tasks, workerIds.map(getWorker));
     log.info("placed", {
         unit: unit.key,
         run: tasks[0]!.run,
--- a/src/leader/followIntake.ts
+++ b/src/leader/followIntake.ts
@@ -1,4 +1,4 @@
-/** Follows new submissions and cancellations. */
+/** Polls the store for new submissions and cancellations. */
 import type * as clock from "../clock/index";
 import type * as observe from "../observe/index";
 import * as rows from "../rows/index";
@@ -9,15 +9,17 @@
     readonly clock: clock.Clock;
     readonly log: observe.Log;
     readonly signal: AbortSignal;
-    /** Version up to which the table is known. */
+    /** Version of the table up to which its rows are known. */
     readonly after: number;
     onRows(changed: readonly rows.Row[]): void;
 }
 
-/** One poll ends after this long, so that a connection that fell silent is given up soon after. */
+/** Duration of one poll; short, so that a dead connection is detected soon. */
 const WAIT_MS = 1_000;
 const SLACK_MS = 600;
-/** Without a byte of a page; it begins after 10 ms as a rule, with a slow store (60 times) after 300 ms. */
+/**
+ * Timeout without a byte of a page. A page usually begins after 10 ms, at a store that is 60 times slower after 300 ms.
+ */
 const READ_SILENCE_MS = 1_500;
 const RETRY_PAUSE_MS = 100;
 
--- a/src/leader/gauges.ts
+++ b/src/leader/gauges.ts
@@ -1,4 +1,4 @@
-/** The leader's jobs, tasks and workers as gauges, counted when somebody asks. */
+/** Gauges of the leader's jobs, tasks and workers, computed when the metrics are read. */
 import type * as observe from "../observe/index";
 import type * as entries from "./entries";
 
--- a/src/leader/guarantees.ts
+++ b/src/leader/guarantees.ts
@@ -1,10 +1,11 @@
-/** Which jobs lie within what their account is guaranteed. */
+/** Selects the jobs that are covered by the guarantee of their account. */
 import type * as catalog from "../catalog/index";
 import type * as entries from "./entries";
 
 /**
- * An account's jobs of priority 0, oldest first, as long as their first steps together need no more accelerators than
- * it is guaranteed. Jobs that have not ended count whether they run or wait.
+ * Returns each account's jobs of priority 0, in the order given (oldest first), while the sum of their needs stays
+ * within the guaranteed accelerators. A job needs as many accelerators as its largest step. All jobs that have not
+ * ended count, whether they run or wait.
  */
 export function findGuaranteedJobs(
     active: Iterable<entries.JobEntry>,
--- a/src/leader/handover.ts
+++ b/src/leader/handover.ts
@@ -1,15 +1,15 @@
 /**
- * Hands the lead to another instance without the store.
+ * Hands leadership over to another instance when the leader loses the store.
  *
- * What goes wrong without it: the store turns the leader away, or is cut off from it alone. The leader cannot renew its
- * lease, and the others wait until it has lapsed; work that is handed in meanwhile is accepted and does not start. One
- * notices urgent jobs that begin 1.7 s late. With it the lead changes as soon as the leader knows of its loss.
+ * A leader that cannot reach the store, or is refused by it, cannot renew its lease. Without a handover the other
+ * instances wait until the lease expires; work submitted meanwhile is accepted but does not start, and urgent jobs
+ * begin 1.7 s late.
  *
- * The store is lost when it says so or is silent, and also when a renewal of the lease is late and a read on another
- * connection gets no answer: waiting for both to be certain takes most of the lease.
+ * The store counts as lost when it is known to be unreachable, and also when a renewal of the lease is overdue and a
+ * read on another connection gets no answer: waiting until the loss is certain takes most of the lease.
  *
- * A leader ends its term only for an instance that has just reached the store: while the store is away from all of
- * them, the leader is the one that prolongs what runs.
+ * A leader ends its term only for an instance that has just reached the store: while no instance reaches it, the leader
+ * is the one that extends the leases of running tasks.
  */
 import type * as clock from "../clock/index";
 import type * as observe from "../observe/index";
@@ -17,25 +17,25 @@
 import * as work from "../work/index";
 import type * as lease from "./lease";
 
-/** A term that is given up. */
+/** The term that is handed over. */
 export interface HandoverOffer {
-    /** Life of the instance that holds the lease. */
+    /** Incarnation of the instance that holds the lease. */
     readonly holder: string;
     readonly token: number;
 }
 
-/** An instance that could lead at once. */
+/** An instance that could lead immediately. */
 export interface Candidacy {
-    /** Processor time that it gets, in cores. */
+    /** Processor time available to the instance, in cores. */
     readonly power: number;
 }
 
 export interface HandoverPort {
-    /** Addresses of other instances, as far as they are known. */
+    /** Known addresses of other instances. */
     getCandidates(): readonly string[];
-    /** `undefined`: it gave no answer, or cannot lead. */
+    /** Asks whether the instance could lead; `undefined` if it does not answer or cannot lead. */
     queryCandidate(candidate: string, offer: HandoverOffer, timeoutMs: number): Promise<Candidacy | undefined>;
-    /** Tells that the term has ended. */
+    /** Notifies the instance that the term has ended. */
     notifySuccessor(candidate: string, offer: HandoverOffer, timeoutMs: number): Promise<void>;
 }
 
@@ -52,24 +52,24 @@
 
 export interface Handover {
     /**
-     * Called when the store may be lost: makes sure of that and looks for a successor, if this instance leads, until
-     * the store is back.
+     * Called when the store may be lost. If this instance leads, verifies the loss and looks for a successor until the
+     * store is reachable again.
      */
     offerLeadership(): Promise<void>;
-    /** Whether this instance could lead in place of the one that asks. */
+    /** Whether this instance could lead in place of the offering one; `undefined` if not. */
     answer(handoverOffer: HandoverOffer): Promise<Candidacy | undefined>;
-    /** The other's term has ended. */
+    /** Takes the lease over from the offering instance, whose term has ended. */
     take(handoverOffer: HandoverOffer): void;
 }
 
-/** Answers come within some 10 ms: a read of the store and the way. */
-const ASK_TIMEOUT_MS = 250;
+/** An answer usually takes 10 ms: a read of the store and the round trip. */
+const QUERY_TIMEOUT_MS = 250;
 /**
- * Of the read with which leader and candidates make sure of the store. At a store that is slow for all of them no
- * candidate gets its answer in time, and the lead stays where it is.
+ * Timeout of the read with which the leader and the candidates probe the store. At a store that is slow for all of them
+ * no candidate gets an answer in time, and the leader does not change.
  */
 const READ_TIMEOUT_MS = 150;
-const ASK_EVERY_MS = 200;
+const QUERY_INTERVAL_MS = 200;
 
 export function createHandover(options: HandoverOptions): Handover {
     const { port, lease: held, clock: time, log } = options;
@@ -78,7 +78,7 @@
         const answers = await Promise.all(
             port.getCandidates().map(async candidate => ({
                 candidate,
-                candidacy: await port.queryCandidate(candidate, offer, ASK_TIMEOUT_MS),
+                candidacy: await port.queryCandidate(candidate, offer, QUERY_TIMEOUT_MS),
             })),
         );
         const strongestFirst = answers
@@ -86,34 +86,34 @@
             .sort((a, b) => b.candidacy!.power - a.candidacy!.power);
         return strongestFirst[0]?.candidate;
     };
-    const canRead = async () => {
+    const canReadStore = async () => {
         const lead = { table: work.Table.LeaderLease, part: work.LEADER_PART, limit: 1 };
         return (await options.store.read(lead, READ_TIMEOUT_MS)).kind === "read";
     };
-    const isDoubtful = () => options.isStoreUnreachable() || held.isRenewalLate();
+    const isStoreSuspect = () => options.isStoreUnreachable() || held.isRenewalLate();
     let offering = false;
-    const offerUntilBack = async () => {
-        while (isDoubtful() && !options.signal.aborted) {
+    const offerUntilRecovered = async () => {
+        while (isStoreSuspect() && !options.signal.aborted) {
             const offer = held.getOffer();
-            if (!offer || (!options.isStoreUnreachable() && await canRead())) {
+            if (!offer || (!options.isStoreUnreachable() && await canReadStore())) {
                 return;
             }
-            // A read of our own at the same time: when the store comes back to all, some instance notices first.
-            const [successor, reads] = await Promise.all([findSuccessor(offer), canRead()]);
-            if (!reads && successor !== undefined && isDoubtful() && held.getOffer()?.token === offer.token) {
+            // Probes the store at the same time: when it becomes reachable for all instances, another may notice first.
+            const [successor, reads] = await Promise.all([findSuccessor(offer), canReadStore()]);
+            if (!reads && successor !== undefined && isStoreSuspect() && held.getOffer()?.token === offer.token) {
                 log.info("leadHandedOver", { token: offer.token, to: successor });
                 held.cede();
-                await port.notifySuccessor(successor, offer, ASK_TIMEOUT_MS);
+                await port.notifySuccessor(successor, offer, QUERY_TIMEOUT_MS);
                 return;
             }
-            await time.sleep(ASK_EVERY_MS, options.signal);
+            await time.sleep(QUERY_INTERVAL_MS, options.signal);
         }
     };
     return {
         offerLeadership: async () => {
             if (!offering) {
                 offering = true;
-                await offerUntilBack();
+                await offerUntilRecovered();
                 offering = false;
             }
         },
@@ -122,7 +122,7 @@
             if (!isCurrent() || options.isStoreUnreachable()) {
                 return undefined;
             }
-            return await canRead() && isCurrent() ? { power: options.power } : undefined;
+            return await canReadStore() && isCurrent() ? { power: options.power } : undefined;
         },
         take: offer => held.takeFrom(offer.token),
     };
--- a/src/leader/handoverCalls.ts
+++ b/src/leader/handoverCalls.ts
@@ -1,11 +1,11 @@
-/** The handover of the lead between processes. */
+/** HTTP client and routes for the handover of leadership between instances. */
 import type * as calls from "../calls/index";
 import type * as handover from "./handover";
 
 const ASK_PATH = "/lead/ask";
 const TAKE_PATH = "/lead/take";
 const OK = 200;
-/** Stands for "cannot lead"; a candidate's power is above it. */
+/** Encodes an instance that cannot lead; the power of a candidate is greater. */
 const NO_POWER = 0;
 
 export function createHandoverPort(
@@ -22,19 +22,19 @@
             return Number.isFinite(power) && power > NO_POWER ? { power } : undefined;
         },
         notifySuccessor: async (candidate, offer, timeoutMs) => {
-            // Without an answer the lease lapses as it would have without a handover.
+            // If this call fails, the lease expires as it would have without a handover.
             await post(candidate, TAKE_PATH, offer, timeoutMs);
         },
     };
 }
 
-export function createHandoverRoutes(answerer: Pick<handover.Handover, "answer" | "take">): calls.CallRoute[] {
+export function createHandoverRoutes(handler: Pick<handover.Handover, "answer" | "take">): calls.CallRoute[] {
     return [
         {
             path: ASK_PATH,
             handle: async text => {
                 const offer = decodeOffer(text);
-                return offer && String((await answerer.answer(offer))?.power ?? NO_POWER);
+                return offer && String((await handler.answer(offer))?.power ?? NO_POWER);
             },
         },
         {
@@ -44,7 +44,7 @@
                 if (!offer) {
                     return undefined;
                 }
-                answerer.take(offer);
+                handler.take(offer);
                 return "";
             },
         },
@@ -59,7 +59,7 @@
             : undefined;
     }
     catch {
-        // Whoever asked is told that it cannot be read.
+        // The server responds with status 400.
         return undefined;
     }
 }
--- a/src/leader/heldLease.ts
+++ b/src/leader/heldLease.ts
@@ -1,4 +1,4 @@
-/** The lease as its holder sees it: how long it may give orders, and prolong what runs. */
+/** The lease from the view of its holder: how long it may issue orders and extend the leases of running tasks. */
 import * as events from "node:events";
 import type * as clock from "../clock/index";
 import type * as rows from "../rows/index";
@@ -7,15 +7,15 @@
 export interface Leadership {
     readonly token: number;
     readonly signal: AbortSignal;
-    /** Row of the fencing token, on which every write of the leader depends. */
+    /** Row of the fencing token. Every write of the leader is conditional on its version. */
     readonly guard: rows.RowCondition;
-    /** Carries out a write of the leader: none succeeds once another leader has taken over. */
+    /** Performs a write of the leader. None succeeds once another leader has taken over. */
     transact: renewalsOfTerm.Renewals["transact"];
-    /** Whether orders may be given now. */
+    /** Whether orders may be issued now. */
     mayIssueOrders(): boolean;
-    /** Whether leases of running work may be prolonged now: a while longer than orders. */
+    /** Whether leases of running tasks may be extended now; `EXTENSION_GRACE_MS` longer than orders may be issued. */
     mayExtendTaskLeases(): boolean;
-    /** Monotonic time after which no earlier leader prolongs any work. */
+    /** Monotonic time after which no earlier leader extends the lease of any task. */
     readonly predecessorsInactiveAt: number;
 }
 
@@ -31,14 +31,15 @@
 }
 
 /**
- * How much longer than its lease a leader without the store prolongs what runs. An outage of the store of several
- * seconds then stops no work. A successor waits this much longer before it counts work on a silent worker as gone.
+ * How long after its lease a leader that cannot reach the store still extends the leases of running tasks, so that a
+ * store outage of several seconds stops no work. A successor waits this much longer before it considers tasks on an
+ * unreachable worker lost.
  */
 export const EXTENSION_GRACE_MS = 9_000;
 
 export function createHeldLease(time: clock.Clock, start: HeldLeaseOptions): HeldLease {
     const controller = new AbortController();
-    // Each task that is being stopped waits on the signal.
+    // Each task that is being stopped adds a listener.
     events.setMaxListeners(0, controller.signal);
     const renewals = renewalsOfTerm.createRenewals({ ...start, clock: time });
     return {
--- a/src/leader/holderMonitor.ts
+++ b/src/leader/holderMonitor.ts
@@ -1,11 +1,11 @@
-/** What an instance knows of the leader's process without the store: that it is gone, or silent. */
+/** Detects without the store that the lease holder's process has exited or sends no heartbeats. */
 import type * as clock from "../clock/index";
 import type * as observe from "../observe/index";
 import type * as leaseRecord from "./leaseRecord";
 
-/** A watch of one process. */
+/** Watches one process. */
 export interface ProcessWatch {
-    /** Milliseconds since its latest heartbeat; `undefined`: it sends none, or has not yet. */
+    /** Milliseconds since the latest heartbeat; `undefined` if none has been received. */
     getHeartbeatAgeMs(): number | undefined;
     end(): void;
 }
@@ -13,50 +13,51 @@
 export interface HolderMonitorOptions {
     readonly clock: clock.Clock;
     readonly log: observe.Log;
-    /** Of this process, which does not watch itself. */
+    /** Incarnation of this process, which does not watch itself. */
     readonly life: string;
-    /** Watches the holder's process; `onGone`: it is gone for certain. */
+    /** Watches the holder's process; `onExit` is called when it is certain to have exited. */
     watchHolder(address: string, onExit: () => void): ProcessWatch;
-    /** The holder that is watched is gone. */
+    /** The watched holder's process has exited. */
     onExit(): void;
 }
 
 export interface HolderMonitor {
-    /** Watches the holder of a record that was just seen. */
+    /** Watches the holder of the latest record. */
     follow(record: leaseRecord.LeaseRecord): void;
-    /** A holder whose process is gone is not waited for: that costs a lease in which nothing starts. */
+    /** Whether the holder's process has exited: waiting for its lease to expire would delay every start. */
     hasExited(record: leaseRecord.LeaseRecord): boolean;
-    /** Whether heartbeats of the holder that is watched have stayed away. */
+    /** Whether the watched holder's heartbeats are overdue. */
     hasMissedHeartbeats(): boolean;
     end(): void;
 }
 
-/** Three heartbeats are missing, and a packet that is lost is sent again sooner. */
-const SILENCE_MS = 600;
-/** The last renewal of a process that has gone may be seen this much later than its end. */
-const LAST_RENEWAL_MS = 200;
+/** Three heartbeats; a lost packet is retransmitted sooner. */
+const HEARTBEAT_TIMEOUT_MS = 600;
+/** The last renewal of a process may become visible this long after the process has exited. */
+const LAST_RENEWAL_DELAY_MS = 200;
 
 export function createHolderMonitor(options: HolderMonitorOptions): HolderMonitor {
     const { clock: time, log } = options;
     let watchedHolder = "";
     let watch: ProcessWatch | undefined;
-    /** A holder whose process was told to be gone, and when. */
-    let gone: { readonly holder: string; readonly toldAt: number; } | undefined;
+    /** The holder whose process was reported to have exited, and when. */
+    let exited: { readonly holder: string; readonly reportedAt: number; } | undefined;
 
     /**
-     * A cut that resets connections and refuses new ones looks from behind it as if the holder's process were gone. The
-     * holder goes on renewing; without this its lease is taken as soon as the cut ends, and work is stopped for nothing.
+     * A network partition that resets connections and refuses new ones looks like the exit of the holder's process. If
+     * the holder still renews its lease, the report was wrong: otherwise the lease would be taken when the partition
+     * ends, and work would be stopped without need.
      */
-    const forgetGone = (record: leaseRecord.LeaseRecord) => {
-        if (gone?.holder === record.holder && time.now() - gone.toldAt > LAST_RENEWAL_MS) {
+    const clearStaleExit = (record: leaseRecord.LeaseRecord) => {
+        if (exited?.holder === record.holder && time.now() - exited.reportedAt > LAST_RENEWAL_DELAY_MS) {
             log.info("holderBack", { instance: record.instance, token: record.token });
-            gone = undefined;
+            exited = undefined;
             watchedHolder = "";
         }
     };
     return {
         follow: record => {
-            forgetGone(record);
+            clearStaleExit(record);
             if (record.holder === watchedHolder) {
                 return;
             }
@@ -68,12 +69,12 @@
             }
             watch = options.watchHolder(record.watchAddress, () => {
                 log.warn("holderGone", { instance: record.instance, token: record.token });
-                gone = { holder: record.holder, toldAt: time.now() };
+                exited = { holder: record.holder, reportedAt: time.now() };
                 options.onExit();
             });
         },
-        hasExited: record => record.holder === gone?.holder,
-        hasMissedHeartbeats: () => (watch?.getHeartbeatAgeMs() ?? 0) >= SILENCE_MS,
+        hasExited: record => record.holder === exited?.holder,
+        hasMissedHeartbeats: () => (watch?.getHeartbeatAgeMs() ?? 0) >= HEARTBEAT_TIMEOUT_MS,
         end: () => watch?.end(),
     };
 }
--- a/src/leader/index.ts
+++ b/src/leader/index.ts
@@ -1,4 +1,4 @@
-/** The leader: who it is, what it believes of jobs and workers, and the orders it gives. */
+/** Leader election, the leader's state of jobs and workers, and the orders that it sends to workers. */
 export type { AdviceResult, Adviser, ListedWorker, WorkerDirectory } from "./directory";
 export type { WorkerInfo } from "./entries";
 export { type Candidacy, createHandover, type Handover, type HandoverOffer, type HandoverPort } from "./handover";
--- a/src/leader/jobRegistry.ts
+++ b/src/leader/jobRegistry.ts
@@ -1,6 +1,6 @@
 /**
- * What the leader believes of jobs and tasks, and each change to it. The book gives no orders: it says through its
- * listener which tasks must be stopped and which rows have changed.
+ * The leader's in-memory state of jobs and tasks, and all transitions of it. The registry sends no orders to workers:
+ * it tells its listener which tasks must be stopped and which rows must be written.
  */
 import type * as catalog from "../catalog/index";
 import type * as clock from "../clock/index";
@@ -13,17 +13,19 @@
 import * as outcomes from "./outcomes";
 import * as restore from "./restore";
 import * as thrownAways from "./thrownAway";
-import * as lossesOfWorkers from "./workerLosses";
+import * as workerLosses from "./workerLosses";
 import type * as port from "./workerPort";
 
 export interface JobRegistryListener {
     onOccurrenceChanged(occurrence: entries.OccurrenceEntry): void;
     onJobChanged(job: entries.JobEntry): void;
-    /** The task is now `stopping`: its run must be stopped and settled. */
+    /** The task is now `stopping`: its run must be stopped, and its end must be confirmed. */
     onStopRequested(task: entries.TaskEntry): void;
-    /** The task is done; its current run is not needed any more, and its room counts until its end is seen. */
+    /**
+     * The task is done and its current run is not needed any more. The run holds its capacity until its end is seen.
+     */
     onRunObsolete(task: entries.TaskEntry): void;
-    /** Something may now be startable. */
+    /** A task may have become startable. */
     onChanged(): void;
 }
 
@@ -32,13 +34,13 @@
     readonly log: observe.Log;
     readonly meter: observe.Meter;
     readonly listener: JobRegistryListener;
-    /** Of the term. */
+    /** Aborted when the term ends. */
     readonly signal: AbortSignal;
     getQueue(name: string): catalog.Queue | undefined;
     getExpectedTimes(job: entries.JobEntry): outcomes.ExpectedTimes;
-    /** How long a run of the step's tasks is expected to take. */
+    /** Estimated run time of one of the step's tasks, in milliseconds. */
     estimateRunMs(step: entries.StepEntry): number;
-    /** All that the leader knows. */
+    /** All workers that the leader knows. */
     getWorkers(): Iterable<entries.WorkerEntry>;
     readonly disabledMechanisms: ReadonlySet<decisions.Mechanism>;
     readonly thrownAway: thrownAways.ThrownAwayWork;
@@ -46,31 +48,31 @@
 
 export interface JobRegistry extends restore.Restorer {
     readonly jobs: ReadonlyMap<string, entries.JobEntry>;
-    /** Jobs that are not over. */
+    /** Jobs that have not ended. */
     readonly active: ReadonlySet<entries.JobEntry>;
     addJob(submission: work.Submission): entries.JobEntry;
     cancelJob(jobId: string): void;
     getTask(name: string): entries.TaskEntry | undefined;
-    /** Creates the occurrences that are due; returns the wall-clock time at which the next one is. */
+    /** Creates the occurrences that are due. Returns the Unix time at which the next one is due, in milliseconds. */
     releaseDueOccurrences(): number | undefined;
-    /** Chooses a worker for each member; the rows must be stored before any order goes out. */
+    /** Assigns a worker to each task. The rows must be stored before any order is sent. */
     place(tasks: readonly entries.TaskEntry[], workers: readonly entries.WorkerEntry[]): void;
     confirmRunning(task: entries.TaskEntry): void;
-    /** The current run has not begun and never will. */
+    /** Returns the task to waiting: its current run has not started and never will. */
     revertPlacement(task: entries.TaskEntry): void;
     requestStop(task: entries.TaskEntry, reason: string): void;
     recordRunEnd(worker: entries.WorkerEntry, end: port.TaskEnd): void;
-    /** Takes note of a task's progress, as its worker tells it. */
+    /** Records the progress that the task's worker reported. */
     recordProgress(task: entries.TaskEntry, told: port.RunningTask): void;
-    /** The worker's life is over, or all that ran there has lapsed. */
+    /** Handles the loss of a worker: its incarnation has ended, or the leases of all its tasks have expired. */
     loseTasksOf(
         worker: entries.WorkerEntry,
-        reason: lossesOfWorkers.LossReason,
-        next?: lossesOfWorkers.NextIncarnation,
+        reason: workerLosses.LossReason,
+        next?: workerLosses.NextIncarnation,
     ): void;
-    /** Learns whether workers that were lost have crashed. */
+    /** Determines whether lost workers have crashed. */
     readonly crashAttribution: crashes.CrashAttribution;
-    /** Drops a job that is over and that nothing runs for. */
+    /** Removes a job that has ended and of which no task is placed. */
     forgetJob(job: entries.JobEntry): void;
 }
 
@@ -94,7 +96,7 @@
     const stopAll = (occurrence: entries.OccurrenceEntry, reason: string) => {
         for (const step of occurrence.steps) {
             for (const task of step.tasks) {
-                book.requestStop(task, reason);
+                registry.requestStop(task, reason);
             }
         }
     };
@@ -119,23 +121,23 @@
         listener.onChanged();
     };
 
-    /** A gang whose member is no longer at work cannot go on: the others are stopped, to begin again together. */
+    /** A gang cannot continue without one of its members: the others are stopped, and all restart together. */
     const breakGang = (task: entries.TaskEntry, reason: string) => {
         if (!task.step.spec.gang) {
             return;
         }
         for (const member of task.step.tasks) {
             if (member !== task) {
-                book.requestStop(member, reason);
+                registry.requestStop(member, reason);
             }
         }
     };
 
-    const keepSaved = (task: entries.TaskEntry, saved: string) => {
+    const recordCheckpoint = (task: entries.TaskEntry, saved: string) => {
         if (saved === "" || saved === task.saved) {
             return;
         }
-        // What any member of a gang saved holds for the whole gang, and all must go on from the same.
+        // All members of a gang resume from the same checkpoint, whichever member saved it.
         for (const member of task.step.spec.gang ? task.step.tasks : [task]) {
             member.saved = saved;
             member.savedAt = time.now();
@@ -154,22 +156,22 @@
     };
 
     /**
-     * A run that ended well on a worker that was out of reach, after its lease was taken to be over and the task had been
-     * started again. The work is done, and the next step need not wait for the later run.
+     * Handles an earlier run that succeeded on an unreachable worker after the task was restarted because the run's
+     * lease was considered expired. The work is done, so the next step need not wait for the later run.
      */
-    const takeEarlierEnd = (worker: entries.WorkerEntry, task: entries.TaskEntry, end: port.TaskEnd) => {
+    const handleEarlierRunEnd = (worker: entries.WorkerEntry, task: entries.TaskEntry, end: port.TaskEnd) => {
         if (end.how !== "done" || task.step.spec.lasting || task.phase === "done") {
             return;
         }
         log.info("earlierRunDone", { task: task.name, run: end.run, worker: worker.id, currentRun: task.run });
         const members = task.step.spec.gang ? task.step.tasks : [task];
-        members.forEach(dropRun);
+        members.forEach(discardRun);
         markDone(task);
         members.filter(member => member.worker).forEach(listener.onRunObsolete);
         listener.onChanged();
     };
-    /** The task's current run, which may be under way, is not needed any more. */
-    const dropRun = (task: entries.TaskEntry) => {
+    /** Discards the task's current run, which may be running. */
+    const discardRun = (task: entries.TaskEntry) => {
         switch (task.phase) {
             case "recording":
                 entries.unassign(task);
@@ -178,7 +180,7 @@
             case "running":
             case "stopping":
                 countThrownAway(task, "earlierRunDone");
-                // It counts as missing only from a look that was sent after the worker has accepted its stop.
+                // Counts as missing only from a poll that was sent after the worker accepted the stop.
                 task.runningSince = Infinity;
                 break;
             case "waiting":
@@ -187,7 +189,7 @@
         }
     };
 
-    const losses = lossesOfWorkers.createWorkerLosses({
+    const losses = workerLosses.createWorkerLosses({
         clock: time,
         log,
         meter,
@@ -208,12 +210,12 @@
         openOccurrence,
         markStepDone,
         endFailed,
-        requestStop: (task, reason) => book.requestStop(task, reason),
+        requestStop: (task, reason) => registry.requestStop(task, reason),
         stopAll,
         enforceCrashLimit: losses.enforceCrashLimit,
     });
 
-    const book: JobRegistry = {
+    const registry: JobRegistry = {
         jobs,
         active,
         addJob: submission => {
@@ -314,7 +316,7 @@
                     task.stopReason = reason;
                     task.stopAcceptedAt = undefined;
                     listener.onStopRequested(task);
-                    // The other members may well be where they were started.
+                    // Only this member is missing; the others may still run on their workers.
                     breakGang(task, reason === entries.MISSING_RUN_REASON ? "gangIncomplete" : reason);
                     break;
                 case "waiting":
@@ -327,7 +329,7 @@
             const task = tasks.get(end.task);
             if (!task || task.run !== end.run) {
                 if (task && end.run < task.run) {
-                    takeEarlierEnd(worker, task, end);
+                    handleEarlierRunEnd(worker, task, end);
                 }
                 return;
             }
@@ -336,7 +338,7 @@
                 return;
             }
             meter.increment("runs_ended_total", { queue: task.step.occurrence.job.queue.name, how: end.how });
-            keepSaved(task, end.saved);
+            recordCheckpoint(task, end.saved);
             if (isCurrent) {
                 entries.unassign(task);
             }
@@ -381,7 +383,7 @@
             losses.enforceCrashLimit(task);
         },
         recordProgress: (task, told) => {
-            keepSaved(task, told.saved);
+            recordCheckpoint(task, told.saved);
             task.recentFigure = told.recentFigure;
             task.lastReportAt = time.now();
             if (told.percent > 0) {
@@ -390,7 +392,7 @@
             task.worker?.unconfirmedStarts.delete(task.name);
             decisions.recordProgress(task.speed, told.percent, time.now());
             if (task.phase === "ordered") {
-                book.confirmRunning(task);
+                registry.confirmRunning(task);
             }
             if (told.percent > task.percent) {
                 task.percent = told.percent;
@@ -408,5 +410,5 @@
             }
         },
     };
-    return book;
+    return registry;
 }
--- a/src/leader/lease.ts
+++ b/src/leader/lease.ts
@@ -1,17 +1,16 @@
 /**
- * Which instance leads: a row with holder, fencing token and counts, won and renewed by compare-and-swap.
+ * Leader election: a row with holder, fencing token and counts, acquired and renewed by compare-and-swap.
  *
- * The token, which workers check, is what protects; the lease only keeps instances from taking over from each other
- * without need. The holder trusts its lease from the moment it *sent* the renewal, by the clock that lost most time:
- * a machine that was suspended wakes up with a monotonic clock that did not count the pause, and would give orders
- * that its successor has already given.
+ * Safety rests on the fencing token, which workers check; the lease only avoids needless takeovers. The holder counts
+ * its lease from the moment when it *sent* the renewal, by whichever clock has advanced most: the monotonic clock of a
+ * suspended machine does not count the pause, and the holder would repeat orders that its successor has already issued.
  */
 import * as clock from "../clock/index";
 import type * as observe from "../observe/index";
 import * as rows from "../rows/index";
 import * as work from "../work/index";
 import * as heldLease from "./heldLease";
-import * as holderWatch from "./holderMonitor";
+import * as holderMonitor from "./holderMonitor";
 import * as leaseRecord from "./leaseRecord";
 import * as renewals from "./renewals";
 import * as waitingCounts from "./waitingCounts";
@@ -29,19 +28,19 @@
     readonly log: observe.Log;
     readonly meter: observe.Meter;
     readonly instance: string;
-    /** Unique to this life of the process. */
+    /** Unique to this incarnation of the process. */
     readonly life: string;
-    /** Where other instances watch this process; empty: nowhere. */
+    /** Address of this process's liveness server; empty if it has none. */
     readonly watchAddress: string;
-    /** Where this instance takes requests that others pass on; empty: nowhere. */
+    /** Address at which this instance accepts forwarded requests; empty if it accepts none. */
     readonly peerAddress: string;
-    /** Watches the holder's process; `onGone`: it is gone for certain. */
-    watchHolder(address: string, onGone: () => void): holderWatch.ProcessWatch;
-    /** Processor time that this instance gets, in cores. */
+    /** Watches the holder's process; `onGone` is called when it is certain to have exited. */
+    watchHolder(address: string, onGone: () => void): holderMonitor.ProcessWatch;
+    /** Processor time available to this instance, in cores. */
     readonly power: number;
     readonly signal: AbortSignal;
     getWaitingCounts(): Readonly<Record<string, number>> | undefined;
-    /** A renewal has had no answer for a while: the store may be out of reach. */
+    /** A renewal has been unanswered for too long: the store may be unreachable. */
     onRenewalOverdue(): void;
     onElected(leadership: heldLease.Leadership): void;
 }
@@ -49,46 +48,46 @@
 export interface Lease {
     getObservation(): LeaseObservation | undefined;
     isLeading(): boolean;
-    /** Ends the term when another leader's token was met. */
+    /** Ends the term because another leader's token was seen. */
     endTerm(reason: string): void;
-    /** The term that this instance could give up; `undefined`: it does not lead. */
+    /** The term that this instance could hand over; `undefined` if it does not lead. */
     getOffer(): { readonly holder: string; readonly token: number; } | undefined;
-    /** Whether this instance leads and could not renew its lease when it was due. */
+    /** Whether this instance leads and the renewal of its lease is overdue. */
     isRenewalLate(): boolean;
-    /** Ends the term for a successor that is told so without the store. */
+    /** Ends the term in favour of a successor that is notified directly. */
     cede(): void;
-    /** Takes the lease over from a term whose holder has said that it is over. */
+    /** Takes the lease over from a term that its holder has ended. */
     takeFrom(token: number): void;
-    /** Gives the lease back, so that a successor need not wait for it to lapse. */
+    /** Releases the lease, so that a successor need not wait for its expiry. */
     release(): Promise<void>;
 }
 
-/** Of a holder whose heartbeats have ended as well: one renewal is missing. */
+/** Lease expiry for a holder that sends no heartbeats either: one renewal is missing. */
 const SILENT_LEASE_MS = 900;
-/** After a loss of the store a follower leaves the holder this long to renew first: a takeover costs a look at all. */
-const RETURN_MS = 1_200;
-/** A machine with this many times the holder's processor time takes the lead over. */
-const MUCH_STRONGER = 2;
-/** Only an instance that has seen the store for this long does: not right after a start or an outage. */
-const STEADY_MS = 3_000;
-/** A machine with a whole core leads without waiting; one with a third of it leaves others 0.3 s. */
+/** After an outage of the store the holder gets this long to renew first: a takeover polls every worker. */
+const RENEWAL_GRACE_MS = 1_200;
+/** An instance with this many times the holder's processor time takes over. */
+const TAKEOVER_POWER_RATIO = 2;
+/** It must have reached the store for this long: not right after a start or an outage. */
+const MIN_STABLE_MS = 3_000;
+/** An instance with a whole core takes the lease at once; one with a third of a core waits 0.3 s for others. */
 const STRONG_CORES = 1;
-const MOST_YIELD_MS = 450;
+const MAX_YIELD_MS = 450;
 const CALL_TIMEOUT_MS = 700;
 const TICK_MS = 100;
 
-/** Follows the lease's row, takes the lease when it is free, and renews it while this instance leads. */
+/** Follows the row of the lease, acquires the lease when it is free, and renews it while this instance leads. */
 export function createLease(options: LeaseOptions): Lease {
     const { clock: time, log } = options;
     let observed: LeaseObservation | undefined;
-    let knowsTable = false;
-    let contactSince: number | undefined;
+    let hasSnapshot = false;
+    let reachableSince: number | undefined;
     let term: heldLease.HeldLease | undefined;
     let released = false;
-    /** Token of a term whose holder has said that it is over; the same process may lead again under another. */
-    let cededToken: number | undefined;
+    /** Token of a term that its holder has ended; the same process may lead again under another token. */
+    let handedOverToken: number | undefined;
     let wake: (() => void) | undefined;
-    const holder = holderWatch.createHolderMonitor({
+    const holder = holderMonitor.createHolderMonitor({
         clock: time,
         log,
         life: options.life,
@@ -106,7 +105,7 @@
             wake?.();
         }
         if (term && observed.record.token > term.leadership.token) {
-            endTerm(`instance ${observed.record.instance} holds token ${observed.record.token}`);
+            endTerm(`instance ${observed.record.instance} holds the lease with fencing token ${observed.record.token}`);
         }
     };
     const endTerm = (reason: string) => {
@@ -125,22 +124,22 @@
         part: work.LEADER_PART,
         signal: options.signal,
         onSnapshot: all => {
-            knowsTable = true;
+            hasSnapshot = true;
             all.forEach(observe);
         },
         onChanges: changes => changes.filter(row => !row.removed).forEach(observe),
         onReadSucceeded: () => {
-            contactSince ??= time.now();
+            reachableSince ??= time.now();
         },
         onReadFailed: () => {
-            contactSince = undefined;
+            reachableSince = undefined;
         },
     });
 
-    /** Since when the lease could be had; a weak instance leaves it to stronger ones for a moment. */
+    /** Time since which the lease has been available; a weak instance waits a moment for stronger ones. */
     let freeSince: number | undefined;
-    const mayTake = (): boolean => {
-        if (contactSince === undefined || (!isFree() && !isMuchStronger())) {
+    const canAcquire = (): boolean => {
+        if (reachableSince === undefined || (!isFree() && !isMuchStronger())) {
             freeSince = undefined;
             return false;
         }
@@ -148,23 +147,27 @@
         return time.now() - freeSince >= getYieldMs(options.power);
     };
     /**
-     * A leader on a weak machine is succeeded by a strong one: it falls behind under load, takes its own backlog for
-     * unanswered orders and stops sound work, which costs more than a takeover.
+     * A leader on a weak machine is replaced by a strong one: under load it falls behind, mistakes its own backlog for
+     * unanswered orders and stops healthy tasks, which costs more than a takeover.
      */
     const isMuchStronger = (): boolean =>
-        observed !== undefined && contactSince !== undefined
+        observed !== undefined && reachableSince !== undefined
         && observed.record.holder !== ""
-        && options.power >= MUCH_STRONGER * observed.record.power
-        && time.now() - contactSince >= STEADY_MS
+        && options.power >= TAKEOVER_POWER_RATIO * observed.record.power
+        && time.now() - reachableSince >= MIN_STABLE_MS
         && time.now() - observed.seenAt < observed.record.leaseMs;
-    /** Whether the last holder is certain to be over: it gave the lease back or up, or was an earlier life of this one. */
+    /**
+     * Whether the last holder's term has certainly ended: released, handed over, or of an earlier incarnation of this
+     * instance.
+     */
     const isHolderOver = ({ record }: LeaseObservation) =>
-        record.holder === "" || record.instance === options.instance || record.token === cededToken;
+        record.holder === "" || record.instance === options.instance || record.token === handedOverToken;
     /**
-     * A machine that loses power, or a cut, ends both the renewals and the heartbeats; a slow store delays the renewals
-     * only. The fencing token makes a takeover safe at any time, so that both together are enough to be sooner.
+     * A power failure or a network partition ends both renewals and heartbeats, while a slow store delays only
+     * renewals. So the expiry may be shortened when both are missing; the fencing token makes a takeover safe at any
+     * time.
      */
-    const getShortenedMs = () => holder.hasMissedHeartbeats() ? renewals.LEASE_MS - SILENT_LEASE_MS : 0;
+    const getExpiryReductionMs = () => holder.hasMissedHeartbeats() ? renewals.LEASE_MS - SILENT_LEASE_MS : 0;
     const isFree = (): boolean => {
         if (!observed) {
             return true;
@@ -174,8 +177,8 @@
         }
         const now = time.now();
         const { leaseMs } = observed.record;
-        return now - observed.seenAt >= leaseMs - getShortenedMs() && contactSince !== undefined
-            && now - contactSince >= RETURN_MS;
+        return now - observed.seenAt >= leaseMs - getExpiryReductionMs() && reachableSince !== undefined
+            && now - reachableSince >= RENEWAL_GRACE_MS;
     };
     const createRecord = (
         token: number,
@@ -198,22 +201,22 @@
         };
     };
     /**
-     * Monotonic time from which on no earlier leader prolongs any work. Holders before the last one count as well: one
-     * that was cut off goes on while a successor comes, ends in good order and is succeeded in turn.
+     * Monotonic time after which no earlier leader extends the lease of any task. Holders before the last one count
+     * too: one that is partitioned may go on while its successor's whole term passes.
      */
-    const getOthersSilentAt = (now: number): number => {
+    const getPredecessorsInactiveAt = (now: number): number => {
         if (!observed) {
             return now;
         }
         const inheritedUntil = observed.seenAt + (observed.record.othersProlongMs ?? 0);
-        // A holder that is still there may have renewed a moment before its lease was taken.
+        // The holder may still be alive, and may have renewed just before its lease was taken.
         return isHolderOver(observed)
             ? Math.max(now, inheritedUntil)
             : now + observed.record.leaseMs + heldLease.EXTENSION_GRACE_MS;
     };
     /**
-     * Whether the lease has not been renewed since, by a read: at a store that is slow, what is followed comes late. Without
-     * it all instances write at once, and these writes delay the holder's renewals by seconds.
+     * Reads the lease to verify that it has not been renewed, since a slow store delivers changes late. Without this
+     * check all instances would write at once, and those writes would delay the holder's renewals by seconds.
      */
     const isStillUnchanged = async () => {
         const before = observed?.version;
@@ -223,13 +226,13 @@
         }
         return outcome.kind === "read" && observed?.version === before;
     };
-    const takeOver = async () => {
+    const acquire = async () => {
         if (observed && !isHolderOver(observed) && !await isStillUnchanged()) {
             return;
         }
         const sentAt = clock.getTimestamp(time);
         const token = (observed?.record.token ?? 0) + 1;
-        const othersSilentAt = getOthersSilentAt(sentAt.monotonicMs);
+        const othersSilentAt = getPredecessorsInactiveAt(sentAt.monotonicMs);
         const record = createRecord(token, othersSilentAt);
         const wasReleased = observed?.record.holder === "";
         const outcome = await options.store.transact({
@@ -244,11 +247,11 @@
             return;
         }
         observed = { record, version: outcome.version, seenAt: time.now() };
-        term = openTerm(token, outcome.version, sentAt, othersSilentAt);
+        term = startTerm(token, outcome.version, sentAt, othersSilentAt);
         log.info("leadershipTaken", { token, released: wasReleased });
         options.onElected(term.leadership);
     };
-    const openTerm = (token: number, version: number, sentAt: clock.Timestamp, othersSilentAt: number) => {
+    const startTerm = (token: number, version: number, sentAt: clock.Timestamp, othersSilentAt: number) => {
         const held: heldLease.HeldLease = heldLease.createHeldLease(time, {
             log,
             token,
@@ -278,7 +281,7 @@
         });
         return held;
     };
-    /** Ends early when something is known to have changed. */
+    /** Sleeps, and returns early when a change is known. */
     const pause = (ms: number) =>
         new Promise<void>(resolve => {
             const finish = () => {
@@ -289,7 +292,7 @@
             const cancel = time.setTimer(ms, finish);
             wake = finish;
         });
-    const run = async () => {
+    const runElection = async () => {
         while (!options.signal.aborted && !released) {
             if (term) {
                 if (term.renewals.getMsUntilDue() <= 0) {
@@ -298,17 +301,17 @@
                 await time.sleep(Math.max(1, Math.min(TICK_MS, term.renewals.getMsUntilDue())), options.signal);
                 continue;
             }
-            if (knowsTable && mayTake()) {
-                await takeOver();
+            if (hasSnapshot && canAcquire()) {
+                await acquire();
             }
             await pause(TICK_MS);
         }
     };
-    void run();
-    // Whatever ends the instance ends its term: nothing may be ordered by a process that is about to be gone.
+    void runElection();
+    // Whatever stops the instance ends its term: a process that is about to exit must issue no orders.
     options.signal.addEventListener("abort", () => {
         holder.end();
-        endTerm("this instance ends");
+        endTerm("this instance is shutting down");
     });
 
     return {
@@ -317,9 +320,9 @@
         endTerm: endTerm,
         getOffer: () => term && { holder: options.life, token: term.leadership.token },
         isRenewalLate: () => term?.renewals.isOverdue() ?? false,
-        cede: () => endTerm("another instance reaches the store"),
+        cede: () => endTerm("handed over to an instance that reaches the store"),
         takeFrom: token => {
-            cededToken = token;
+            handedOverToken = token;
             wake?.();
         },
         release: async () => {
@@ -339,7 +342,7 @@
             };
             const outcome = await options.store.transact({
                 conditions: [current.leadership.guard],
-                // The token's row changes as well: a renewal that is still under way must not take the lease back.
+                // Also writes the token's row: a renewal that is still in flight must not reacquire the lease.
                 puts: [leaseRecord.encodeRecord(record), { ...leaseRecord.TOKEN_KEY, value: String(token) }],
                 removals: [],
             }, CALL_TIMEOUT_MS);
@@ -349,5 +352,5 @@
 }
 
 function getYieldMs(power: number): number {
-    return Math.max(0, 1 - power / STRONG_CORES) * MOST_YIELD_MS;
+    return Math.max(0, 1 - power / STRONG_CORES) * MAX_YIELD_MS;
 }
--- a/src/leader/leaseRecord.ts
+++ b/src/leader/leaseRecord.ts
@@ -1,36 +1,36 @@
-/** The lease's row: who leads, for how long, and what else every instance learns from it. */
+/** The row of the lease: its holder, its duration, and other facts that all instances read from it. */
 import type * as rows from "../rows/index";
 import * as work from "../work/index";
 import * as renewals from "./renewals";
 
 export interface LeaseRecord {
-    /** Id of the holder's life; empty: given back. */
+    /** Id of the holder's incarnation; empty if the lease was released. */
     readonly holder: string;
-    /** The holder's name, the same in each of its lives. */
+    /** The holder's name, the same in each of its incarnations. */
     readonly instance: string;
     readonly token: number;
-    /** Where other instances watch the holder's process; empty where it offers no watch. */
+    /** Address of the holder's liveness server; empty if it has none. */
     readonly watchAddress: string;
-    /** Where the holder takes requests that other instances pass on; empty where it takes none. */
+    /** Address at which the holder accepts forwarded requests; empty if it accepts none. */
     readonly peerAddress: string;
-    /** How strong the holder's machine is: the processor time that it gets, in cores. */
+    /** Processor time available to the holder, in cores. */
     readonly power: number;
-    /** How long the lease lasts from when this version is first seen, in milliseconds. */
+    /** Duration of the lease in milliseconds, counted from when this version is first seen. */
     readonly leaseMs: number;
     /**
-     * For how many milliseconds more, counted from the write, a leader before the holder may prolong work on workers that
-     * have not heard of the holder; absent: none does.
+     * How many milliseconds after the write an earlier leader may still extend leases of tasks, on workers that the
+     * holder has not reached; absent if none does.
      */
     readonly othersProlongMs?: number;
-    /** Jobs of each queue of which no task has started; absent while the holder does not know yet. */
+    /** Number of jobs by queue of which no task has started; absent until the holder knows them. */
     readonly waiting?: Readonly<Record<string, number>>;
-    /** True where other queues have waiting jobs as well, whose counts had no room. */
+    /** True if other queues have waiting jobs too, whose counts did not fit. */
     readonly othersWait?: boolean;
 }
 
 export const LEASE_KEY: rows.RowKey = { table: work.Table.LeaderLease, part: work.LEADER_PART, key: "lease" };
 export const TOKEN_KEY: rows.RowKey = { ...LEASE_KEY, key: "token" };
-/** Holds the lease's row alone. */
+/** Contains only the row of the lease. */
 export const LEASE_RANGE: rows.RowRange = {
     table: LEASE_KEY.table,
     part: LEASE_KEY.part,
@@ -43,7 +43,7 @@
     return { ...LEASE_KEY, value: JSON.stringify(record) };
 }
 
-/** An instance of an earlier version says nothing of the lease's length. */
+/** Decodes a row. Instances of earlier versions do not write `leaseMs`. */
 export function decodeRecord(value: string): LeaseRecord {
     const record = JSON.parse(value) as Omit<LeaseRecord, "leaseMs"> & Partial<LeaseRecord>;
     return { ...record, leaseMs: record.leaseMs ?? renewals.LEASE_MS };
--- a/src/leader/machines.ts
+++ b/src/leader/machines.ts
@@ -1,11 +1,11 @@
-/** Port to the machines beneath the workers, and to the operator's orders for their upkeep. No call rejects. */
+/** Ports to the machines that run the workers, and to the operator's orders for their upkeep. No call rejects. */
 
 export interface Machine {
     readonly id: string;
     readonly up: boolean;
-    /** Down for its upkeep. */
+    /** Whether the machine is down for upkeep. */
     readonly inUpkeep: boolean;
-    /** Name of the worker that is the machine's present life; empty while it is not up. */
+    /** Name of the worker that runs on the machine now; empty while the machine is not up. */
     readonly workerName: string;
 }
 
@@ -16,20 +16,20 @@
 export interface UpkeepOrder {
     readonly machine: string;
     readonly wave: number;
-    /** Who orders; each token has one holder. */
+    /** The leader that issues the order. Each fencing token has one holder. */
     readonly holder: string;
     readonly fencingToken: number;
 }
 
 export type UpkeepAnswer =
-    /** Begun, or done already. */
+    /** The upkeep has begun, or was done before. */
     | { readonly kind: "accepted"; }
-    /** Not up, or about to leave; to be tried again. */
+    /** The machine is not up or is about to leave; to be retried. */
     | { readonly kind: "busy"; }
     | { readonly kind: "fenced"; }
-    /** There is no such machine, or the wave does not hold it. */
+    /** The machine does not exist or is not part of the wave. */
     | { readonly kind: "unknownMachine"; readonly message: string; }
-    /** No answer, or none that decides: it may have begun; asking again is safe. */
+    /** No conclusive answer: the upkeep may have begun. A retry is idempotent. */
     | { readonly kind: "unknown"; readonly message: string; };
 
 export interface MachineService {
@@ -37,7 +37,9 @@
     beginUpkeep(order: UpkeepOrder, timeoutMs: number): Promise<UpkeepAnswer>;
 }
 
-/** An operator's order: each of the machines has its upkeep in time, with at most `maxCount` down at once. */
+/**
+ * An operator's order: each machine gets its upkeep within `withinMs`, with at most `maxCount` machines down at once.
+ */
 export interface Wave {
     readonly number: number;
     readonly machines: readonly string[];
@@ -45,9 +47,9 @@
     readonly maxCount: number;
 }
 
-/** Where waves are read and their state is told. */
+/** Port to the waves and to their reported state. */
 export interface WavePort {
-    /** Waves that are not completed, each with the monotonic time at which this instance learned of it. */
+    /** Waves that are not completed, each with the monotonic time at which this instance first saw it. */
     getIncomplete(): ReadonlyArray<{ readonly wave: Wave; readonly knownAt: number; }>;
     reportState(wave: number, state: "running" | "completed", timeoutMs: number): Promise<boolean>;
 }
--- a/src/leader/passTimer.ts
+++ b/src/leader/passTimer.ts
@@ -1,34 +1,36 @@
-/** When the next pass of the decisions is made: events of one moment are decided together, and passes leave room for answers. */
+/**
+ * Schedules the passes of the scheduler: batches events, and spaces passes so that answers are processed in between.
+ */
 import type * as clock from "../clock/index";
 
 export interface PassTimer {
-    /** Has a pass made after so long at the latest, or after what the latest one took asks for. */
+    /** Schedules a pass after this delay, or later if the last pass took long. An earlier pass that is due stands. */
     schedulePass(leastMs: number): void;
-    /** What the latest pass took. */
+    /** Records the duration of the last pass. */
     recordDuration(ms: number): void;
 }
 
 /**
- * At 4,800 workers a pass takes 3 ms, and each worker that is heard of after a takeover asks for one. This
- * many times its duration pass until the next, so that passes leave most of the processor to answers.
+ * Minimum gap between passes, as a multiple of the last pass's duration, so that most of the processor is left for
+ * answers: at 4,800 workers a pass takes 3 ms, and after a takeover the first answer of each worker requests one.
  */
 const PASS_SPACING = 4;
-/** A pass may have taken long for a pause of the process, which says nothing of the next one. */
-const MOST_SPACING_MS = 100;
+/** Maximum gap: a pause of the process may have made the last pass long, which does not predict the next one. */
+const MAX_SPACING_MS = 100;
 
 export function createPassTimer(time: clock.Clock, runPass: () => void): PassTimer {
     let passMs = 0;
     let nextPassAt = Infinity;
     return {
         schedulePass: leastMs => {
-            const delayMs = Math.max(leastMs, Math.min(MOST_SPACING_MS, PASS_SPACING * passMs));
+            const delayMs = Math.max(leastMs, Math.min(MAX_SPACING_MS, PASS_SPACING * passMs));
             const at = time.now() + delayMs;
             if (nextPassAt <= at) {
                 return;
             }
             nextPassAt = at;
             time.setTimer(delayMs, () => {
-                // A later call may have planned an earlier pass.
+                // A later call may have scheduled an earlier pass.
                 if (nextPassAt === at) {
                     nextPassAt = Infinity;
                     runPass();
--- a/src/leader/placementFilter.ts
+++ b/src/leader/placementFilter.ts
@@ -1,4 +1,4 @@
-/** Which workers may be given tasks now. */
+/** Determines which workers are eligible for tasks now. */
 import type * as catalogs from "../catalog/index";
 import * as decisions from "../decisions/index";
 import type * as entries from "./entries";
@@ -6,19 +6,19 @@
 
 export interface PlacementFilterOptions {
     readonly catalog: Pick<catalogs.CurrentCatalog, "get">;
-    /** How long after a worker's capacity has shrunk a start may count on what it was. */
+    /** How long a start may rely on a reported capacity, in milliseconds. */
     readonly capacityMs: number;
     readonly disabledMechanisms: ReadonlySet<decisions.Mechanism>;
     hasSession(worker: entries.WorkerEntry): boolean;
 }
 
-/** From the decision until a start reaches its worker. */
+/** Time from a placement until its start order reaches the worker. */
 const ORDER_WAY_MS = 600;
 
 export interface PlacementFilter {
-    /** Whether tasks may be placed there. */
+    /** Whether tasks may be placed on the worker. */
     isPlaceable(worker: entries.WorkerEntry, now: number): boolean;
-    /** Whether what was placed there before may still be sent: storing its row may have taken seconds. */
+    /** Whether a start of a task placed earlier may still be sent: storing its row may have taken seconds. */
     mayStart(worker: entries.WorkerEntry, now: number): boolean;
 }
 
@@ -26,7 +26,7 @@
     const refusesOverload = ({ info }: entries.WorkerEntry) =>
         options.catalog.get()?.services.some(service => service.name === info.service && service.refusesOverload)
             ?? false;
-    /** Its capacity may have shrunk since its last report, which an unreachable directory does not pass on. */
+    /** Whether the last report is recent: the capacity may have shrunk while the directory was unreachable. */
     const isReported = (worker: entries.WorkerEntry, now: number, lastsMs: number) =>
         worker.reportedAt !== undefined && now - worker.reportedAt <= lastsMs;
     return {
--- a/src/leader/progressRows.ts
+++ b/src/leader/progressRows.ts
@@ -1,4 +1,4 @@
-/** Entries as rows and back. */
+/** Encodes entries of jobs and occurrences as stored rows of progress. */
 import * as work from "../work/index";
 import * as crashHistory from "./crashHistory";
 import * as entries from "./entries";
--- a/src/leader/progressWriter.ts
+++ b/src/leader/progressWriter.ts
@@ -1,9 +1,9 @@
 /**
- * Writes progress rows in batches, each guarded by the row of the fencing token and by the version of every row.
+ * Writes progress rows in batches, each conditional on the row of the fencing token and on the version of every row.
  *
- * What goes wrong without the guards: a write whose answer was lost may be carried out seconds later. With the token
- * alone it would then undo a newer write of the same leader; with the versions alone a deposed leader could still
- * write a row that its successor has not touched yet. One notices either by a task that is started twice.
+ * A write whose answer was lost may be applied seconds later. Checked against the token alone it would undo a newer
+ * write of the same leader; checked against the versions alone, a former leader could still write a row that its
+ * successor has not changed yet. Either would start a task twice.
  */
 import type * as clock from "../clock/index";
 import type * as observe from "../observe/index";
@@ -11,7 +11,7 @@
 import * as work from "../work/index";
 import type * as entries from "./entries";
 import type * as heldLease from "./heldLease";
-import * as rowsOf from "./progressRows";
+import * as progressRows from "./progressRows";
 
 export interface ProgressWriterOptions {
     readonly store: rows.RowStore;
@@ -26,15 +26,15 @@
 export interface ProgressWriter {
     markOccurrence(occurrence: entries.OccurrenceEntry): void;
     markJob(job: entries.JobEntry): void;
-    /** Resolves when all that is marked so far is stored; never when the term ends before. */
+    /** Resolves when all entries marked so far are stored; never resolves if the term ends first. */
     flush(): Promise<void>;
 }
 
-/** Of the 100 entries of a transaction one is the guard, and one may renew the lease; each row takes two. */
+/** A transaction has at most 100 entries: one guard, one possible lease renewal, and two for each row. */
 const MAX_ROWS = 45;
-/** A call holds 1 MB, in which values take a third more than their bytes. */
+/** A call holds at most 1 MB, and base64 adds a third to the size of the values. */
 const MAX_BYTES = 500_000;
-/** A transaction takes about 10 ms; at a store that answers late it is waited for longer. */
+/** A transaction usually takes 10 ms. `Renewals.transact` extends the timeout at a slow store. */
 const WRITE_TIMEOUT_MS = 900;
 const RETRY_PAUSE_MS = 60;
 
@@ -55,12 +55,12 @@
     let waiters: Array<() => void> = [];
     let writing = false;
 
-    /** Rows that fit into one transaction, in the order in which they were marked. */
+    /** Takes the rows that fit into one transaction, in the order in which they were marked. */
     const takeBatch = (): EncodedRow[] => {
         const batch: EncodedRow[] = [];
         let bytes = 0;
         for (const row of dirty.values()) {
-            // Encoded once: a repeated attempt must write the same, or a reader could see two different first writes.
+            // Encoded once: a retry must write the same value, or readers could see two different first writes.
             const value = row.encode();
             bytes += value.length;
             if (batch.length === MAX_ROWS || (batch.length > 0 && bytes > MAX_BYTES)) {
@@ -77,14 +77,14 @@
             return;
         }
         writing = true;
-        // Lets everything that this turn of the event loop decides go into one transaction.
+        // Batches all changes of this turn of the event loop into one transaction.
         await Promise.resolve();
         while ((dirty.size > 0 || waiters.length > 0) && !options.leadership.signal.aborted) {
             const batch = takeBatch();
             const coversAll = dirty.size === 0;
             const covered = coversAll ? waiters : [];
             if (coversAll) {
-                // Whoever comes while this batch is under way waits for the next one.
+                // A flush that is requested while this batch is in flight waits for the next batch.
                 waiters = [];
             }
             if (batch.length > 0 && !await writeBatch(options, batch)) {
@@ -110,7 +110,7 @@
                 setVersion: version => {
                     occurrence.rowVersion = version;
                 },
-                encode: () => rowsOf.encodeOccurrence(occurrence),
+                encode: () => progressRows.encodeOccurrence(occurrence),
             }),
         markJob: job =>
             mark({
@@ -119,7 +119,7 @@
                 setVersion: version => {
                     job.rowVersion = version;
                 },
-                encode: () => rowsOf.encodeJob(job),
+                encode: () => progressRows.encodeJob(job),
             }),
         flush: () =>
             new Promise(resolve => {
@@ -129,7 +129,7 @@
     };
 }
 
-/** Returns false when the term is over. */
+/** Returns false if the term has ended. */
 async function writeBatch(options: ProgressWriterOptions, batch: readonly EncodedRow[]): Promise<boolean> {
     const toKey = (key: string): rows.RowKey => ({ table: work.Table.Progress, part: work.LEADER_PART, key });
     const puts = batch.map(({ row, value }) => ({ ...toKey(row.key), value }));
@@ -160,7 +160,7 @@
     return false;
 }
 
-/** A conflict under our own token means that an earlier try was carried out after all: go on from its versions. */
+/** A conflict while the token is unchanged means that an earlier attempt was applied: continues from its versions. */
 function adoptVersions(
     options: ProgressWriterOptions,
     batch: readonly EncodedRow[],
--- a/src/leader/renewals.ts
+++ b/src/leader/renewals.ts
@@ -1,64 +1,64 @@
 /**
- * How a term's lease is renewed: with whatever the leader writes when a renewal is due, or by itself.
+ * Renews the lease of a term: together with any write of the leader when a renewal is due, or in a transaction of its
+ * own.
  *
- * What goes wrong otherwise: the store takes the transactions of the leader's part one after another, and at a store
- * that is 98 times slower each holds it for half a second and is answered after a second. Renewals that wait for the one
- * before, and behind writes of progress, are given up too soon, and the lease lapses under a leader that is well. One
- * notices "leaseNotRenewed" beside a store that answers, and takeovers. So a renewal depends on the row of the token
- * alone, which lets it go out while another is under way; it rides on other writes, which leaves the part room; and the
- * lease that it asks for lasts longer where the store answers late.
+ * The store serializes the transactions on the leader's part. If it is 98 times slower, each occupies the part for half
+ * a second and is answered after a second. Renewals that wait for the previous one and for writes of progress then time
+ * out, and a healthy leader loses its lease; this shows as "leaseNotRenewed" and takeovers while the store answers. So
+ * a renewal is conditional only on the row of the token, which allows several in flight; it is combined with other
+ * writes, which saves transactions; and it requests a longer lease when the store is slow.
  */
 import * as clock from "../clock/index";
 import type * as observe from "../observe/index";
 import type * as rows from "../rows/index";
 
-/** Unchanged for this long, the lease is another's to take, at a store that answers as usual. */
+/** Duration of the lease at a store that answers in normal time. */
 export const LEASE_MS = 1_600;
-/** The holder stops this much earlier: clocks that differ by 2%, and the way of a last order. */
+/** The holder stops this much earlier, to allow for a clock drift of 2% and the delivery of its last order. */
 const LEASE_MARGIN_MS = 250;
-/** Answers that take no longer are usual; of longer ones so many fit into what a lease lasts longer. */
+/** Longest normal answer time. For slower answers the lease is extended by `ANSWERS_IN_LEASE` answer times. */
 const USUAL_ANSWER_MS = 50;
 const ANSWERS_IN_LEASE = 2;
-/** The longest lease: a leader that is lost while the store is slow is waited for so long. */
-const MOST_LEASE_MS = 4_000;
-/** A renewal takes 10 ms; three of them fit into a lease. */
-const RENEW_EVERY_MS = 500;
+/** Maximum lease duration: how long a failover may wait when a leader is lost while the store is slow. */
+const MAX_LEASE_MS = 4_000;
+/** Interval of renewals: three fit into a lease. A renewal takes 10 ms. */
+const RENEWAL_INTERVAL_MS = 500;
 const RETRY_PAUSE_MS = 100;
-/** Without an answer for this long a renewal is late: ten times what it takes as a rule. */
-const LATE_MS = 150;
+/** A renewal without an answer for this long is overdue; it usually takes about a tenth of this. */
+const OVERDUE_AFTER_MS = 150;
 const CALL_TIMEOUT_MS = 700;
-/** Of the entries of a transaction a renewal takes one. */
-const MOST_ENTRIES = 100;
+/** Maximum entries of a transaction, of which a renewal takes one. */
+const MAX_TRANSACTION_ENTRIES = 100;
 
 export interface RenewalsOptions {
     readonly clock: clock.Clock;
     readonly log: observe.Log;
-    /** Row of the term's fencing token: no write of the term succeeds once another leader has changed it. */
+    /** Row of the term's fencing token: no write of the term succeeds once another leader has changed the row. */
     readonly guard: rows.RowCondition;
-    /** When the write that won the lease was sent. */
+    /** When the write that acquired the lease was sent. */
     readonly sentAt: clock.Timestamp;
-    /** The lease's row, for a lease of this length. */
+    /** Creates the row of a lease of this duration. */
     createRow(leaseMs: number): rows.RowPut;
-    /** The row was written. */
+    /** The row has been written. */
     onRenewed(row: rows.RowPut, version: number): void;
-    /** Another leader's token stands in the store. */
+    /** The store holds another leader's token. */
     onSuperseded(reason: string): void;
-    /** A renewal has had no answer for a while: the store may be out of reach. */
+    /** A renewal has been unanswered for too long: the store may be unreachable. */
     onOverdue(): void;
 }
 
 export interface Renewals {
-    /** Carries out a write of the term under its guard, and renews the lease with it if that is due. */
+    /** Performs a write under the term's guard, combined with a renewal of the lease if one is due. */
     transact(
         store: rows.RowStore,
         tx: Partial<rows.RowTransaction>,
         timeoutMs: number,
     ): Promise<rows.TransactResult>;
-    /** Renews the lease by itself; does not wait for the answer. */
+    /** Renews the lease in a transaction of its own, without waiting for the answer. */
     send(store: rows.RowStore): void;
-    /** Milliseconds until a renewal is due; at most 0: now. */
+    /** Milliseconds until a renewal is due; 0 or less if it is due now. */
     getMsUntilDue(): number;
-    /** How much longer the term may give orders. */
+    /** How much longer the term may issue orders, in milliseconds. */
     getRemainingMs(): number;
     isOverdue(): boolean;
 }
@@ -71,53 +71,53 @@
 export function createRenewals(options: RenewalsOptions): Renewals {
     const { clock: time, log } = options;
     const first: SentRenewal = { sentAt: options.sentAt, leaseMs: LEASE_MS };
-    /** The latest one that was carried out, the latest one that was sent, and all that have no answer yet. */
-    let renewed = first;
+    /** The last renewal that was applied; below, the last one sent and those without an answer. */
+    let lastApplied = first;
     let lastSent = first;
-    const open = new Set<SentRenewal>();
-    let nextAt = first.sentAt.monotonicMs + RENEW_EVERY_MS;
-    /** Of the latest call that was answered: when it was sent, and how long it took. */
+    const inFlight = new Set<SentRenewal>();
+    let nextAt = first.sentAt.monotonicMs + RENEWAL_INTERVAL_MS;
+    /** Send time and answer time of the latest call that was answered. */
     let answeredSentAt = first.sentAt.monotonicMs;
     let answerMs = 0;
 
-    const takeAnswer = (sentAt: number, outcome: rows.TransactResult) => {
+    const recordAnswer = (sentAt: number, outcome: rows.TransactResult) => {
         if ((outcome.kind === "committed" || outcome.kind === "conflict") && sentAt >= answeredSentAt) {
             answeredSentAt = sentAt;
             answerMs = time.now() - sentAt;
         }
     };
     /**
-     * What an answer takes now, as far as is known: a renewal without one counts for as long as it has been open, unless a
-     * later call was answered; then its answer is lost, and the store is not slow.
+     * Estimates the present answer time. An unanswered renewal counts with the time it has been in flight, unless a
+     * later call was answered: then its answer is lost and the store is not slow.
      */
     const getAnswerMs = () => {
-        const openSince = [...open].map(sent => sent.sentAt.monotonicMs).filter(sentAt => sentAt > answeredSentAt);
+        const openSince = [...inFlight].map(sent => sent.sentAt.monotonicMs).filter(sentAt => sentAt > answeredSentAt);
         return Math.max(answerMs, ...openSince.map(sentAt => time.now() - sentAt));
     };
     /**
-     * Ends no sooner than the one before: the holder counts on the latest that it knows of, a successor on the latest that
-     * was carried out.
+     * A lease never ends before the previous one: the holder relies on the latest renewal that it knows to be applied,
+     * a successor on the latest that was applied.
      */
     const getLeaseMs = (now: number) => {
         const slowMs = getAnswerMs();
         const wantedMs = slowMs > USUAL_ANSWER_MS ? LEASE_MS + ANSWERS_IN_LEASE * slowMs : LEASE_MS;
         const leftOfLastMs = lastSent.sentAt.monotonicMs + lastSent.leaseMs - now;
-        return Math.round(Math.max(Math.min(wantedMs, MOST_LEASE_MS), leftOfLastMs));
+        return Math.round(Math.max(Math.min(wantedMs, MAX_LEASE_MS), leftOfLastMs));
     };
-    const begin = () => {
+    const startRenewal = () => {
         const sentAt = clock.getTimestamp(time);
         const sent: SentRenewal = { sentAt, leaseMs: getLeaseMs(sentAt.monotonicMs) };
-        open.add(sent);
+        inFlight.add(sent);
         lastSent = sent;
-        nextAt = sentAt.monotonicMs + RENEW_EVERY_MS;
-        const cancelLate = time.setTimer(LATE_MS, options.onOverdue);
+        nextAt = sentAt.monotonicMs + RENEWAL_INTERVAL_MS;
+        const cancelLate = time.setTimer(OVERDUE_AFTER_MS, options.onOverdue);
         const row = options.createRow(sent.leaseMs);
         return {
             row,
             settle: (outcome: rows.TransactResult) => {
                 cancelLate();
-                open.delete(sent);
-                takeAnswer(sent.sentAt.monotonicMs, outcome);
+                inFlight.delete(sent);
+                recordAnswer(sent.sentAt.monotonicMs, outcome);
                 settle(sent, row, outcome);
             },
         };
@@ -125,8 +125,8 @@
     const settle = (sent: SentRenewal, row: rows.RowPut, outcome: rows.TransactResult) => {
         switch (outcome.kind) {
             case "committed":
-                if (sent.sentAt.monotonicMs >= renewed.sentAt.monotonicMs) {
-                    renewed = sent;
+                if (sent.sentAt.monotonicMs >= lastApplied.sentAt.monotonicMs) {
+                    lastApplied = sent;
                 }
                 options.onRenewed(row, outcome.version);
                 break;
@@ -134,7 +134,7 @@
                 const { guard } = options;
                 const token = outcome.rows.find(found => found.table === guard.table && found.key === guard.key);
                 if (token?.version !== guard.version) {
-                    options.onSuperseded("another leader's token stands in the store");
+                    options.onSuperseded("the store holds another leader's fencing token");
                 }
                 break;
             }
@@ -148,26 +148,26 @@
     const renewals: Renewals = {
         transact: async (store, { conditions = [], puts = [], removals = [] }, timeoutMs) => {
             const guarded = [options.guard, ...conditions];
-            const mayRenew = guarded.length + puts.length + removals.length < MOST_ENTRIES;
-            const renewal = mayRenew && renewals.getMsUntilDue() <= 0 ? begin() : undefined;
+            const mayRenew = guarded.length + puts.length + removals.length < MAX_TRANSACTION_ENTRIES;
+            const renewal = mayRenew && renewals.getMsUntilDue() <= 0 ? startRenewal() : undefined;
             const sentAt = time.now();
             const outcome = await store.transact({
                 conditions: guarded,
                 puts: renewal ? [...puts, renewal.row] : puts,
                 removals,
             }, timeoutMs + ANSWERS_IN_LEASE * answerMs);
-            takeAnswer(sentAt, outcome);
+            recordAnswer(sentAt, outcome);
             renewal?.settle(outcome);
             return outcome;
         },
         send: store => {
-            const { row, settle: settleOne } = begin();
+            const { row, settle: settleOne } = startRenewal();
             const timeoutMs = CALL_TIMEOUT_MS + ANSWERS_IN_LEASE * getAnswerMs();
             void store.transact({ conditions: [options.guard], puts: [row], removals: [] }, timeoutMs).then(settleOne);
         },
         getMsUntilDue: () => nextAt - time.now(),
-        getRemainingMs: () => renewed.leaseMs - LEASE_MARGIN_MS - clock.getElapsedMs(time, renewed.sentAt),
-        isOverdue: () => time.now() - renewed.sentAt.monotonicMs >= RENEW_EVERY_MS + LATE_MS,
+        getRemainingMs: () => lastApplied.leaseMs - LEASE_MARGIN_MS - clock.getElapsedMs(time, lastApplied.sentAt),
+        isOverdue: () => time.now() - lastApplied.sentAt.monotonicMs >= RENEWAL_INTERVAL_MS + OVERDUE_AFTER_MS,
     };
     return renewals;
 }
--- a/src/leader/restore.ts
+++ b/src/leader/restore.ts
@@ -1,4 +1,4 @@
-/** Fills the book from what an earlier leader stored. */
+/** Restores jobs and tasks from the progress that an earlier leader stored. */
 import type * as clock from "../clock/index";
 import type * as work from "../work/index";
 import * as crashHistory from "./crashHistory";
@@ -6,19 +6,19 @@
 
 export interface RestorerOptions {
     readonly clock: clock.Clock;
-    /** Jobs that are not over. */
+    /** Jobs that have not ended. */
     readonly active: Set<entries.JobEntry>;
     openOccurrence(job: entries.JobEntry, number: number): entries.OccurrenceEntry;
     markStepDone(step: entries.StepEntry): void;
     endFailed(occurrence: entries.OccurrenceEntry): void;
     requestStop(task: entries.TaskEntry, reason: string): void;
     stopAll(occurrence: entries.OccurrenceEntry, reason: string): void;
-    /** Gives the task up if too many workers have crashed under it. */
+    /** Gives the task up if it has exceeded its limit of crashed workers. */
     enforceCrashLimit(task: entries.TaskEntry): void;
 }
 
 export interface Restorer {
-    /** Puts a job where its stored progress says it is. */
+    /** Restores the state of a job from its stored progress. */
     restoreJob(job: entries.JobEntry, progress: work.JobProgress, version: number): void;
     restoreOccurrence(
         job: entries.JobEntry,
@@ -58,7 +58,7 @@
                 break;
         }
     };
-    /** The leader that counted its last attempt may have been lost before it stored the end of the job. */
+    /** The earlier leader may have failed after it counted the last attempt and before it stored the end of the job. */
     const judgeRestored = (task: entries.TaskEntry) => {
         options.enforceCrashLimit(task);
         const { step } = task;
@@ -68,8 +68,8 @@
         }
     };
     /**
-     * A gang of which some members have ended is being stopped, as an earlier leader knew. Taken for running, what is left
-     * of it would wait for members that never come.
+     * Stops the rest of a gang of which some members have ended, as the earlier leader was doing. Otherwise the
+     * remaining members would wait forever for the others.
      */
     const stopIncompleteGang = (step: entries.StepEntry) => {
         if (step.spec.gang && step.tasks.some(member => member.phase === "waiting")) {
@@ -116,7 +116,7 @@
     };
 }
 
-/** Until the worker's lists say otherwise. */
+/** Assumes that the task runs, until its worker reports otherwise. */
 function takeForRunning(task: entries.TaskEntry, worker: entries.WorkerEntry, now: number): void {
     entries.assign(task, worker);
     task.phase = "running";
--- a/src/leader/retention.ts
+++ b/src/leader/retention.ts
@@ -1,8 +1,8 @@
 /**
- * Removes the rows of jobs that ended long ago. Without it every takeover reads all jobs that ever were.
+ * Removes the rows of jobs after their retention period, so that a takeover does not read all jobs ever submitted.
  *
- * The submission goes first: rows of progress without a submission are removed later, while a submission without
- * progress would run again.
+ * The submission is removed first: progress without a submission is removed later as an orphan, while a submission
+ * without progress would run again.
  */
 import type * as clock from "../clock/index";
 import type * as observe from "../observe/index";
@@ -10,20 +10,20 @@
 import * as work from "../work/index";
 import type * as entries from "./entries";
 import type * as heldLease from "./heldLease";
-import type * as book from "./jobRegistry";
+import type * as jobRegistries from "./jobRegistry";
 
 export interface RetentionOptions {
     readonly store: rows.RowStore;
     readonly clock: clock.Clock;
     readonly log: observe.Log;
     readonly leadership: heldLease.Leadership;
-    readonly jobRegistry: book.JobRegistry;
-    /** How long the state of an ended job can be asked for. */
+    readonly jobRegistry: jobRegistries.JobRegistry;
+    /** How long the state of an ended job stays available, in milliseconds. */
     readonly retentionMs: number;
 }
 
 const CHECK_EVERY_MS = 10_000;
-/** Jobs of one check: at 3,500 jobs a day one in 25 s is enough, so this catches up with any backlog. */
+/** Maximum jobs removed per check. 3,500 jobs a day are one in 25 s, so any backlog is caught up with. */
 const JOBS_PER_CHECK = 20;
 const CALL_TIMEOUT_MS = 2_000;
 
@@ -51,7 +51,7 @@
     }
 }
 
-/** A task that is still being stopped needs its entry until its worker has said that it is gone. */
+/** A task that is being stopped needs its entry until its worker confirms the end. */
 function hasPlacedTask(job: entries.JobEntry): boolean {
     for (const occurrence of job.occurrences.values()) {
         if (occurrence.steps.some(step => step.tasks.some(task => task.worker))) {
@@ -82,13 +82,13 @@
     return progress.kind === "committed";
 }
 
-/** Removes progress whose submission is gone: a leader was lost between the two removals. */
+/** Removes progress whose submission was removed by a leader that failed between the two removals. */
 export async function removeOrphans(
     options: Pick<RetentionOptions, "store" | "log" | "leadership">,
     keys: readonly string[],
 ): Promise<void> {
     const outcome = await options.leadership.transact(options.store, {
-        removals: keys.slice(0, MOST_REMOVALS).map(key => ({
+        removals: keys.slice(0, MAX_REMOVALS).map(key => ({
             table: work.Table.Progress,
             part: work.LEADER_PART,
             key,
@@ -97,5 +97,5 @@
     options.log.info("orphansRemoved", { rows: keys.length, outcome: outcome.kind });
 }
 
-/** A transaction holds 100 entries; what is left is removed after the next takeover. */
-const MOST_REMOVALS = 90;
+/** A transaction holds 100 entries; the rest is removed after the next takeover. */
+const MAX_REMOVALS = 90;
--- a/src/leader/stalledSteps.ts
+++ b/src/leader/stalledSteps.ts
@@ -1,4 +1,4 @@
-/** Lines that say why jobs wait of which nothing runs: an operator sees from them what each is short of. */
+/** Logs why steps wait of occurrences that have no placed task, so that an operator sees which resource is missing. */
 import * as decisions from "../decisions/index";
 import type * as observe from "../observe/index";
 import * as crashHistory from "./crashHistory";
@@ -13,17 +13,17 @@
     isPlaceable(worker: entries.WorkerEntry): boolean;
 }
 
-/** Shorter waits are the rule on a full site. */
-const TOLD_AFTER_MS = 3_000;
-/** At a time, those that have waited longest. */
-const MOST_TOLD = 4;
+/** Shorter waits are normal on a fully used site. */
+const REPORT_AFTER_MS = 3_000;
+/** Maximum steps per report; those that have waited longest are chosen. */
+const MAX_REPORTED = 4;
 
 export function logStalledSteps(options: StalledStepsOptions): void {
     const stalled = options.waiting
-        .filter(({ unit, tasks }) => unit.waitedMs >= TOLD_AFTER_MS && !hasPlacedTask(tasks[0]!.step.occurrence))
+        .filter(({ unit, tasks }) => unit.waitedMs >= REPORT_AFTER_MS && !hasPlacedTask(tasks[0]!.step.occurrence))
         .sort((a, b) => b.unit.waitedMs - a.unit.waitedMs);
     const byStep = new Map(stalled.map(item => [item.unit.step, item]));
-    for (const { unit, tasks } of [...byStep.values()].slice(0, MOST_TOLD)) {
+    for (const { unit, tasks } of [...byStep.values()].slice(0, MAX_REPORTED)) {
         options.log.info("stepWaits", {
             step: unit.step,
             tasks: tasks.length,
@@ -38,7 +38,7 @@
     return occurrence.steps.some(step => step.tasks.some(task => task.worker !== undefined));
 }
 
-/** How many workers of its service are left after each condition. */
+/** Counts the workers of the unit's service that remain after each condition. */
 function countWorkers(unit: decisions.WaitingUnit, { workers, isPlaceable }: StalledStepsOptions) {
     const ofService = workers.filter(worker => worker.info.service === unit.service);
     const placeable = ofService.filter(isPlaceable);
--- a/src/leader/takeover.ts
+++ b/src/leader/takeover.ts
@@ -1,32 +1,34 @@
-/** What a new leader reads before it gives an order. */
+/** Loads the stored state before a new leader issues any order. */
 import type * as clock from "../clock/index";
 import type * as observe from "../observe/index";
 import * as rows from "../rows/index";
 import * as work from "../work/index";
 import type * as entries from "./entries";
-import type * as book from "./jobRegistry";
+import type * as jobRegistries from "./jobRegistry";
 
 export interface TakeoverOptions {
     readonly store: rows.RowStore;
     readonly clock: clock.Clock;
     readonly log: observe.Log;
     readonly signal: AbortSignal;
-    readonly jobRegistry: book.JobRegistry;
+    readonly jobRegistry: jobRegistries.JobRegistry;
     getWorker(id: string): entries.WorkerEntry;
-    /** Progress was found whose submission has been removed. */
+    /** Called with the keys of progress whose submission has been removed. */
     onOrphans(keys: readonly string[]): void;
 }
 
-/** Without a byte of a page; it begins after 10 ms as a rule, with a slow store (60 times) after 300 ms. */
+/**
+ * Timeout without a byte of a page. A page usually begins after 10 ms, at a store that is 60 times slower after 300 ms.
+ */
 const READ_SILENCE_MS = 1_500;
 const RETRY_PAUSE_MS = 100;
 
-/** Fills the book; returns the version from which to follow submissions, or `undefined` when the term is over. */
+/** Fills the registry. Returns the version from which to follow submissions, or `undefined` if the term has ended. */
 export async function loadStoredState(options: TakeoverOptions): Promise<number | undefined> {
     const startedAt = options.clock.now();
     const [submissions, progress] = await Promise.all([
-        readUntilDone(options, work.Table.Jobs, work.INTAKE_PARTS),
-        readUntilDone(options, work.Table.Progress, [work.LEADER_PART]),
+        readWithRetry(options, work.Table.Jobs, work.INTAKE_PARTS),
+        readWithRetry(options, work.Table.Progress, [work.LEADER_PART]),
     ]);
     if (!submissions || !progress) {
         return undefined;
@@ -47,19 +49,19 @@
     return submissions.version;
 }
 
-/** Rows of the intake: new jobs and cancellations, in any order. */
-export function applyIntakeRows(taskBook: book.JobRegistry, intake: readonly rows.Row[]): void {
+/** Applies rows of the intake, new jobs and cancellations, which may come in any order. */
+export function applyIntakeRows(jobRegistry: jobRegistries.JobRegistry, intake: readonly rows.Row[]): void {
     const cancelled: string[] = [];
     for (const row of intake) {
         const jobId = work.getCancelledJobId(row.key);
         if (jobId === undefined) {
-            taskBook.addJob(JSON.parse(row.value) as work.Submission);
+            jobRegistry.addJob(JSON.parse(row.value) as work.Submission);
         }
         else {
             cancelled.push(jobId);
         }
     }
-    cancelled.forEach(jobId => taskBook.cancelJob(jobId));
+    cancelled.forEach(jobId => jobRegistry.cancelJob(jobId));
 }
 
 function restore(options: TakeoverOptions, progressRows: readonly rows.Row[]): void {
@@ -87,7 +89,7 @@
     }
 }
 
-async function readUntilDone(
+async function readWithRetry(
     options: TakeoverOptions,
     table: string,
     parts: readonly string[],
--- a/src/leader/term.ts
+++ b/src/leader/term.ts
@@ -1,11 +1,11 @@
-/** One term of leadership: from reading what is stored to the loss of the lease. */
+/** One term of leadership, from loading the stored state to the loss of the lease. */
 import type * as catalog from "../catalog/index";
 import type * as clock from "../clock/index";
 import * as decisions from "../decisions/index";
 import type * as observe from "../observe/index";
 import type * as rows from "../rows/index";
 import * as advice from "./advice";
-import * as sharing from "./bestEffortPacing";
+import * as bestEffortPacing from "./bestEffortPacing";
 import type * as directory from "./directory";
 import * as entries from "./entries";
 import * as execution from "./execution";
@@ -13,21 +13,21 @@
 import * as gauges from "./gauges";
 import * as guarantees from "./guarantees";
 import type * as heldLease from "./heldLease";
-import * as firstLooksOfTerm from "./initialPollLimiter";
-import * as bookOfTasks from "./jobRegistry";
+import * as initialPollLimiter from "./initialPollLimiter";
+import * as jobRegistries from "./jobRegistry";
 import * as knownServices from "./knownServices";
 import type * as machines from "./machines";
 import * as ordersOfTerm from "./orders";
 import * as passTimer from "./passTimer";
 import * as placeable from "./placementFilter";
 import * as progressWriter from "./progressWriter";
-import * as contacts from "./reachabilityCheck";
+import * as reachabilityCheck from "./reachabilityCheck";
 import * as reconcile from "./reconcile";
 import * as retention from "./retention";
 import * as slowness from "./slowWorkers";
-import * as waits from "./stalledSteps";
+import * as stalledSteps from "./stalledSteps";
 import * as takeover from "./takeover";
-import * as watch from "./taskWatchdog";
+import * as taskWatchdog from "./taskWatchdog";
 import * as thrownAways from "./thrownAway";
 import * as units from "./units";
 import * as upkeep from "./upkeep";
@@ -48,37 +48,37 @@
     readonly machines: machines.MachineService;
     readonly waves: machines.WavePort;
     readonly policy: decisions.Policy;
-    /** Unique to this life of the instance. */
+    /** Unique to this incarnation of the instance. */
     readonly incarnation: string;
-    /** Longest lease of what runs on a worker. */
+    /** Maximum lease of the tasks on a worker, in milliseconds. */
     readonly maxLeaseMs: number;
-    /** How long after a worker's capacity has shrunk a start may count on what it was. */
+    /** How long a start may rely on a reported capacity, in milliseconds. */
     readonly capacityMs: number;
-    /** How long a machine is down for its upkeep. */
+    /** How long a machine is down for its upkeep, in milliseconds. */
     readonly upkeepMs: number;
-    /** How long the state of an ended job can be asked for. */
+    /** How long the state of an ended job stays available, in milliseconds. */
     readonly retentionMs: number;
     onSuperseded(reason: string): void;
 }
 
 export interface Term {
-    /** Jobs of each queue of which no task has started; `undefined` until the stored jobs are read. */
+    /** Number of jobs by queue of which no task has started; `undefined` until the stored jobs are loaded. */
     getWaitingCounts(): Readonly<Record<string, number>> | undefined;
 }
 
-/** Events of one moment are decided together; short beside the way to a worker and back. */
+/** Delay that batches events into one pass; short compared with the round trip to a worker. */
 const PASS_DELAY_MS = 4;
-/** A pass without an event, for waits that run out. */
+/** Interval of passes without events, for waits that expire. */
 const IDLE_PASS_MS = 250;
-/** Short beside the seconds for which an unlisted worker is waited for. */
+/** Short compared with the seconds after which an unlisted worker is removed. */
 const DIRECTORY_CHECK_MS = 600;
-/** How often the lines on thrown away work and on waits come. */
+/** Interval of the log lines on thrown away work and on stalled steps. */
 const SUMMARY_EVERY_MS = 2_000;
-/** The longest wait that a worker grants a look. */
-const MOST_LOOK_WAIT_MS = 2_000;
+/** Longest time for which a worker holds a poll open. */
+const MAX_POLL_WAIT_MS = 2_000;
 /**
- * Share of a lease that may pass until it is prolonged: of a lease of 6 s at least 5 s are then left whenever a cut
- * begins, so that work outlives cuts of that length.
+ * Share of a lease after which it is extended. Of a lease of 6 s at least 5 s are then left when a network partition
+ * begins, so tasks survive partitions of that length.
  */
 const LOOK_SHARE = 1 / 6;
 
@@ -86,9 +86,9 @@
     const { clock: time, log, meter, leadership } = options;
     const { signal } = leadership;
     const { disabledMechanisms: leftOut } = options.policy;
-    const lookWaitMs = Math.round(Math.min(MOST_LOOK_WAIT_MS, LOOK_SHARE * options.maxLeaseMs));
+    const pollWaitMs = Math.round(Math.min(MAX_POLL_WAIT_MS, LOOK_SHARE * options.maxLeaseMs));
     const predictor = decisions.createPredictor();
-    const firstLooks = firstLooksOfTerm.createInitialPollLimiter(
+    const pollLimiter = initialPollLimiter.createInitialPollLimiter(
         time,
         options.policy.disabledMechanisms.has("firstLooks") ? Infinity : undefined,
     );
@@ -101,10 +101,10 @@
         log,
         meter,
         leadership,
-        onSuperseded: () => options.onSuperseded("another leader's token stands in the store"),
+        onSuperseded: () => options.onSuperseded("the store holds another leader's fencing token"),
     });
     const thrownAway = thrownAways.createThrownAwayWork();
-    const book = bookOfTasks.createJobRegistry({
+    const jobRegistry = jobRegistries.createJobRegistry({
         clock: time,
         log,
         meter,
@@ -124,7 +124,7 @@
         },
     });
     const orders = ordersOfTerm.createOrders({
-        jobRegistry: book,
+        jobRegistry,
         clock: time,
         log,
         meter,
@@ -134,7 +134,7 @@
         mayStart: worker => mayStart(worker, time.now()),
         disabledMechanisms: leftOut,
     });
-    const contact = contacts.createReachabilityCheck({
+    const reachability = reachabilityCheck.createReachabilityCheck({
         clock: time,
         log,
         signal,
@@ -157,27 +157,27 @@
             clock: time,
             log,
             leadership,
-            pollLimiter: firstLooks,
+            pollLimiter: pollLimiter,
             maxLeaseMs: options.maxLeaseMs,
             isBusy: () => worker.tasks.size > 0 || worker.unknownRunCount > 0,
-            getPollWaitMs: () => watch.getPollWaitMs(worker, lookWaitMs),
+            getPollWaitMs: () => taskWatchdog.getPollWaitMs(worker, pollWaitMs),
             onPollResult: async lists => {
                 for (const end of lists.ended) {
                     learn(end);
                 }
                 reconcile.reconcile(
-                    { jobRegistry: book, clock: time, log, stopUnknownRun: orders.stopUnknownRun },
+                    { jobRegistry, clock: time, log, stopUnknownRun: orders.stopUnknownRun },
                     worker,
                     lists,
                 );
                 slowness.handleSlowWorker(worker, {
                     now: time.now(),
-                    jobRegistry: book,
+                    jobRegistry,
                     log,
                     disabledMechanisms: leftOut,
                     getUrgency: step => units.getUrgency(step, createView(new Set())),
                 });
-                sharing.paceFillers(worker, orders.pace);
+                bestEffortPacing.paceFillers(worker, orders.pace);
                 planPass(PASS_DELAY_MS);
                 await writer.flush();
             },
@@ -187,7 +187,7 @@
                 const before = worker.reachable;
                 entries.setReachable(worker, heard, time.now());
                 if (heard && !before) {
-                    book.crashAttribution.recordWorkerSeen(worker.info);
+                    jobRegistry.crashAttribution.recordWorkerSeen(worker.info);
                     planPass(PASS_DELAY_MS);
                 }
             },
@@ -195,7 +195,7 @@
             onFenced: () => options.onSuperseded(`worker ${worker.id} has seen a higher fencing token`),
         });
     const learn = (end: port.TaskEnd) => {
-        const task = book.getTask(end.task);
+        const task = jobRegistry.getTask(end.task);
         if (end.how === "done" && task && task.run === end.run && task.saved === "" && task.runningSince > 0) {
             predictor.learn(
                 task.step.occurrence.job.queue.name,
@@ -216,7 +216,7 @@
         log,
         leadership,
         maxLeaseMs: options.maxLeaseMs,
-        jobRegistry: book,
+        jobRegistry,
         filterKnownServices: leaveOutUnknown,
         openSession,
         closeRun: orders.closeRun,
@@ -230,7 +230,7 @@
         });
         while (!signal.aborted) {
             await time.sleep(DIRECTORY_CHECK_MS, signal);
-            // What is left of workers that are no longer listed ends without a change of the directory.
+            // Workers that are no longer listed expire without a change of the directory.
             if (listed && !signal.aborted) {
                 registry.applyDirectory(listed);
             }
@@ -263,17 +263,17 @@
         if (!leadership.mayIssueOrders()) {
             return;
         }
-        book.releaseDueOccurrences();
+        jobRegistry.releaseDueOccurrences();
         const now = time.now();
-        const view = createView(guarantees.findGuaranteedJobs(book.active, options.catalog.getAccount));
-        watch.stopUnviableTasks([...registry.workers.values()], {
+        const view = createView(guarantees.findGuaranteedJobs(jobRegistry.active, options.catalog.getAccount));
+        taskWatchdog.stopUnviableTasks([...registry.workers.values()], {
             now,
             expect,
-            jobRegistry: book,
+            jobRegistry,
             log,
             disabledMechanisms: leftOut,
         });
-        const waiting = units.collectWaitingUnits(book.active, view);
+        const waiting = units.collectWaitingUnits(jobRegistry.active, view);
         if (waiting.length === 0) {
             return;
         }
@@ -286,14 +286,14 @@
             workers: usable.map(units.toPlaceableWorker),
             units: waiting.map(item => item.unit),
             getRunningGroups: () => {
-                groups = units.collectRunningGroups(book.active, view);
+                groups = units.collectRunningGroups(jobRegistry.active, view);
                 return [...groups.values()].map(item => item.group);
             },
         });
         execution.executePlan({
-            jobRegistry: book,
+            jobRegistry,
             orders,
-            contact,
+            contact: reachability,
             log,
             meter,
             getWorker: registry.getWorker,
@@ -310,17 +310,17 @@
     const passes = passTimer.createPassTimer(time, runPass);
     const planPass = passes.schedulePass;
 
-    const tellWaits = () => {
+    const logStalledSteps = () => {
         const now = time.now();
-        waits.logStalledSteps({
+        stalledSteps.logStalledSteps({
             now,
             log,
-            waiting: units.collectWaitingUnits(book.active, createView(new Set())),
+            waiting: units.collectWaitingUnits(jobRegistry.active, createView(new Set())),
             workers: [...registry.workers.values()],
             isPlaceable: worker => isPlaceable(worker, now),
         });
     };
-    const tellSummaries = async () => {
+    const logSummaries = async () => {
         let told = "{}";
         while (!signal.aborted) {
             await time.sleep(SUMMARY_EVERY_MS, signal);
@@ -329,7 +329,7 @@
                 told = JSON.stringify(coreSeconds);
                 log.info("workThrownAway", { token: leadership.token, coreSeconds });
             }
-            tellWaits();
+            logStalledSteps();
         }
     };
 
@@ -339,7 +339,7 @@
             clock: time,
             log,
             signal,
-            jobRegistry: book,
+            jobRegistry,
             getWorker: registry.getWorker,
             onOrphans: keys => void retention.removeOrphans({ store: options.store, log, leadership }, keys),
         });
@@ -349,7 +349,7 @@
         ready = true;
         meter.record("takeover_duration_ms", {}, time.now() - openedAt);
         void followDirectory();
-        void tellSummaries();
+        void logSummaries();
         upkeep.runUpkeep({
             wavePort: options.waves,
             service: options.machines,
@@ -359,7 +359,7 @@
             leadership,
             holder: options.incarnation,
             upkeepMs: options.upkeepMs,
-            jobRegistry: book,
+            jobRegistry,
             getWorker: registry.findCurrent,
             onFenced: () => options.onSuperseded("a machine has seen a higher fencing token"),
         });
@@ -368,7 +368,7 @@
             clock: time,
             log,
             leadership,
-            jobRegistry: book,
+            jobRegistry,
             retentionMs: options.retentionMs,
         });
         planPass(0);
@@ -379,7 +379,7 @@
             signal,
             after: version,
             onRows: changed => {
-                takeover.applyIntakeRows(book, changed);
+                takeover.applyIntakeRows(jobRegistry, changed);
                 planPass(PASS_DELAY_MS);
             },
         });
@@ -387,7 +387,7 @@
     meter.increment("terms_total");
     const endGauges = meter.registerGauges(() =>
         gauges.readGauges({
-            active: book.active,
+            active: jobRegistry.active,
             workers: registry.workers.values(),
             isPlaceable: worker => isPlaceable(worker, time.now()),
         })
@@ -404,7 +404,7 @@
                 return undefined;
             }
             const counts: Record<string, number> = {};
-            for (const job of book.active) {
+            for (const job of jobRegistry.active) {
                 if (job.state === "queued") {
                     counts[job.queue.name] = (counts[job.queue.name] ?? 0) + 1;
                 }
--- a/src/leader/thrownAway.ts
+++ b/src/leader/thrownAway.ts
@@ -1,18 +1,18 @@
 /**
- * Work that a term's workers did and that is neither done nor saved, by cause.
+ * Totals of the work of a term that was neither completed nor saved, by cause.
  *
- * What goes wrong without it: a leader under load drops most of the lines that tell of single runs, just when the most
- * work is lost, so that nobody can say what it was lost to. The totals are a few numbers however many runs end.
+ * A leader under load drops most log lines on single runs, just when most work is lost, so the causes could not be
+ * derived from these lines. The totals are a few numbers however many runs end.
  */
 import * as decisions from "../decisions/index";
 import * as entries from "./entries";
 
 export interface ThrownAwayWork {
-    /** A run that was at work has ended otherwise than done; `cause` is what it was stopped for, or how it ended. */
+    /** Adds a run that ended without success; `cause` is why it was stopped, or how it ended. Returns core-seconds. */
     addRun(task: entries.TaskEntry, cause: string, now: number): number;
-    /** A gang has ended: what its members held while they waited for the last one to start. */
+    /** Adds what the members of a gang held while they waited for the last one to start. Returns core-seconds. */
     addGangWait(step: entries.StepEntry): number;
-    /** Core-seconds by cause since the term began. */
+    /** Core-seconds by cause since the start of the term. */
     getTotals(): Readonly<Record<string, number>>;
 }
 
@@ -31,7 +31,7 @@
     };
 }
 
-/** A cause without what it was for: that differs from run to run. */
+/** Returns the reason without the unit that the run was stopped for, which differs between runs. */
 export function getCause(reason: string): string {
     return reason.replace(/ for .*/, "");
 }
--- a/src/leader/units.ts
+++ b/src/leader/units.ts
@@ -1,4 +1,4 @@
-/** The book as the placement decisions see it. */
+/** Converts jobs and workers to the input of the placement decisions. */
 import * as decisions from "../decisions/index";
 import * as work from "../work/index";
 import * as crashHistory from "./crashHistory";
@@ -6,7 +6,7 @@
 import type * as outcomes from "./outcomes";
 import * as suspects from "./suspects";
 
-/** A waiting unit, its urgency, and the tasks that it stands for. */
+/** A waiting unit, its urgency, and its tasks. */
 export interface UnitOfTasks {
     readonly unit: decisions.WaitingUnit;
     readonly urgency: decisions.Urgency;
@@ -18,7 +18,7 @@
     readonly tasks: readonly entries.TaskEntry[];
 }
 
-/** How long a task of the step is expected to take, from what was learned of the queue. */
+/** Estimates the run time of a task of the step in milliseconds, from what was learned about its queue. */
 export type RunTimeEstimator = (step: entries.StepEntry) => number;
 
 export interface UnitsOptions {
@@ -26,7 +26,7 @@
     readonly wallNow: number;
     readonly estimateRunMs: RunTimeEstimator;
     readonly policy: decisions.Policy;
-    /** Whether the job's needs lie within what its account is guaranteed. */
+    /** Whether the job is covered by its account's guarantee. */
     isGuaranteed(job: entries.JobEntry): boolean;
 }
 
@@ -100,10 +100,10 @@
     };
 }
 
-/** Beyond it a task that may take its worker down starts wherever there is room. */
+/** Wait after which a task that may crash its worker is placed on any worker with room. */
 const ISOLATION_PATIENCE_MS = 2_000;
 
-/** Beyond it a task that has failed starts again on any worker: it may have failed on each that it fits on. */
+/** Wait after which a failed task is placed on any worker: it may have failed on each that has room for it. */
 const OTHER_WORKER_PATIENCE_MS = 2_000;
 const NO_WORKERS: ReadonlySet<string> = new Set();
 
@@ -164,21 +164,21 @@
     return job.queue.priority === 0 ? decisions.Claim.Urgent : decisions.Claim.None;
 }
 
-/** Of an occurrence of the job; its objective is counted from its acceptance, or from when it is due. */
+/** Expected times of an occurrence of the job. The objective counts from the job's acceptance or from the due time. */
 export function getExpectedTimes(job: entries.JobEntry, expect: RunTimeEstimator): outcomes.ExpectedTimes {
     const [occurrence] = job.occurrences.values();
     const chainMs = occurrence ? getChainMs(occurrence, expect) : 0;
     return { criticalPathMs: chainMs, objectiveMs: job.queue.stretch * chainMs + job.queue.objectiveMs };
 }
 
-/** The longest chain of work of an occurrence. */
+/** Returns the length of an occurrence's critical path in milliseconds. */
 function getChainMs(occurrence: entries.OccurrenceEntry, expect: RunTimeEstimator): number {
     return occurrence.steps
         .filter(step => step.spec.after.length === 0)
         .reduce((longest, step) => Math.max(longest, getChainFromMs(step, expect)), 0);
 }
 
-/** The longest chain of work from a step's start to the end of the occurrence. */
+/** Returns the length of the critical path from the step's start to the end of the occurrence, in milliseconds. */
 function getChainFromMs(step: entries.StepEntry, expect: RunTimeEstimator): number {
     const longestAfter = step.occurrence.steps
         .filter(next => next.spec.after.includes(step.number) && next.number > step.number)
@@ -186,7 +186,7 @@
     return expect(step) + longestAfter;
 }
 
-/** What runs, as groups that are stopped together. */
+/** Collects the placed tasks, grouped by those that are stopped together. */
 export function collectRunningGroups(
     active: Iterable<entries.JobEntry>,
     options: UnitsOptions,
@@ -242,13 +242,13 @@
     };
 }
 
-/** A start that counts against its task's budget for crashes is dearer to stop, the more of that is used up. */
+/** A start that counts against its task's crash budget costs more to stop, the more of the budget is used. */
 function getBudgetAtStake(tasks: readonly entries.TaskEntry[]): number {
     const charged = tasks.filter(task => task.crashes.isStartCharged);
     return Math.max(0, ...charged.map(task => crashHistory.getCounts(task.crashes).crashBudgetUsed));
 }
 
-/** What a stop throws away of tasks that are stopped together. */
+/** Estimates the work that a stop throws away of tasks that are stopped together. */
 export function estimateStopLoss(tasks: readonly entries.TaskEntry[], now: number) {
     const { spec } = tasks[0]!.step;
     const since = Math.min(...tasks.map(task => task.phase === "running" ? task.runningSince : now));
@@ -258,7 +258,7 @@
     return { elapsedMs, unsavedMs, lossCoreSeconds };
 }
 
-/** Tasks that are not at work have nothing to lose: their step misses them already. */
+/** Tasks that are not at work are not protected: their step already counts them as missing. */
 function getProtection(tasks: readonly entries.TaskEntry[]): decisions.DisruptionBudget | undefined {
     const { step } = tasks[0]!;
     const { mayMiss } = step.spec;
@@ -272,7 +272,7 @@
     return `${step.occurrence.job.submission.jobId}.${step.occurrence.number}.${step.number}`;
 }
 
-/** A stop saves all that was done, so a task that saves loses next to nothing and is stopped before others. */
+/** A stop saves a checkpoint, so a task with checkpoints loses almost nothing and is stopped before others. */
 const RESTORE_LOSS_MS = 100;
 
 export function toPlaceableWorker(worker: entries.WorkerEntry): decisions.PlaceableWorker {
--- a/src/leader/upkeep.ts
+++ b/src/leader/upkeep.ts
@@ -1,15 +1,15 @@
 /**
- * Carries out waves of upkeep: empties machines, takes them down a few at a time, and says when all are done.
+ * Performs waves of upkeep: drains machines, takes them down a few at a time, and reports completion.
  *
- * Taking a machine down ends all that runs there at once, so it is emptied first: nothing new is placed, what ends
- * soon may end, the rest is stopped with its work saved.
+ * Taking a machine down kills all tasks on it, so it is drained first: nothing new is placed, tasks that end soon may
+ * end, and the others are stopped with their work saved.
  */
 import type * as clock from "../clock/index";
 import type * as observe from "../observe/index";
 import type * as rows from "../rows/index";
 import * as entries from "./entries";
 import type * as heldLease from "./heldLease";
-import type * as book from "./jobRegistry";
+import type * as jobRegistries from "./jobRegistry";
 import type * as machines from "./machines";
 import * as upkeepRows from "./upkeepRows";
 import * as stagesOfWave from "./upkeepStages";
@@ -21,40 +21,40 @@
     readonly clock: clock.Clock;
     readonly log: observe.Log;
     readonly leadership: heldLease.Leadership;
-    /** Unique to this term's instance. */
+    /** Unique to the instance that holds this term. */
     readonly holder: string;
-    /** How long a machine is down for its upkeep. */
+    /** How long a machine is down for its upkeep, in milliseconds. */
     readonly upkeepMs: number;
-    readonly jobRegistry: book.JobRegistry;
+    readonly jobRegistry: jobRegistries.JobRegistry;
     getWorker(name: string): entries.WorkerEntry | undefined;
     onFenced(): void;
 }
 
-/** A wave that this leader carries out. */
+/** A wave that this leader performs. */
 interface RunningWave {
     readonly wave: machines.Wave;
-    /** Monotonic time at which this instance learned of it. */
+    /** Monotonic time at which this instance first saw the wave. */
     readonly knownAt: number;
     readonly stages: stagesOfWave.MachineStages;
 }
 
-/** The platform takes some 60 list calls a second from all; one wave needs one. */
+/** Interval of the steps of a wave. Each lists the machines, and the platform accepts some 60 list calls a second in total. */
 const STEP_MS = 700;
 const CALL_TIMEOUT_MS = 2_000;
 /**
- * A new leader gives no order to a machine for this long. The platform wants orders of two holders for one machine to be
- * further apart than its lease of 3 s, and the predecessor may have given one up to the last moment; a stronger instance
- * that takes the lead over from one that is well would otherwise repeat that order within milliseconds.
+ * How long a new leader waits before its first order to a machine. The platform requires orders of two holders for one
+ * machine to be further apart than its lease of 3 s, and the predecessor may have issued one just before its term
+ * ended. A stronger instance that takes over from a healthy one would otherwise repeat that order within milliseconds.
  */
 const HANDOVER_MS = 3_500;
-/** Of a machine's share of the wave's time, this much may pass before its work is stopped. */
+/** Share of a machine's time in the wave after which its tasks are stopped. */
 const PATIENCE_SHARE = 0.6;
 
 export function runUpkeep(options: UpkeepOptions): void {
     void follow(options);
 }
 
-/** Waves run side by side: one that waits for a machine must not make the next one late. */
+/** Runs waves concurrently, so that one that waits for a machine does not delay the next. */
 async function follow(options: UpkeepOptions): Promise<void> {
     const { signal } = options.leadership;
     const running = new Set<number>();
@@ -74,7 +74,7 @@
     const { clock: time, log, leadership } = options;
     const stages = await upkeepRows.readStages(toRows(options), wave.number, wave.machines, time.now());
     if (!stages) {
-        // Without the stored orders more machines than allowed might go down; the next step tries again.
+        // Without the stored orders, more machines than allowed might go down. The next round retries.
         log.warn("waveProgressNotRead", { wave: wave.number });
         return;
     }
@@ -105,7 +105,7 @@
     present: stagesOfWave.PresentMachines,
 ): Promise<void> {
     stagesOfWave.updateStages(current.stages, present, options.clock.now(), options.upkeepMs + 2 * STEP_MS);
-    chooseNext(options, current, present);
+    startDraining(options, current, present);
     reserveWorkers(options, current.stages);
     for (const [machineId, stage] of current.stages) {
         const mayOrder = stage.kind === "emptying" || (stage.kind === "ordered" && stage.confirmedAt === undefined);
@@ -115,7 +115,7 @@
     }
 }
 
-function chooseNext(options: UpkeepOptions, current: RunningWave, present: stagesOfWave.PresentMachines): void {
+function startDraining(options: UpkeepOptions, current: RunningWave, present: stagesOfWave.PresentMachines): void {
     const { stages, wave } = current;
     const room = Math.max(0, wave.maxCount - stagesOfWave.countOutOfService(stages, present));
     const candidates = [...stages]
@@ -135,7 +135,10 @@
     }
 }
 
-/** Nothing is placed on a worker that goes down; set again in each step, since the directory may drop and relist it. */
+/**
+ * Excludes workers that go down from placement. Repeated in each step, since the directory may drop and relist a
+ * worker.
+ */
 function reserveWorkers(options: UpkeepOptions, stages: ReadonlyMap<string, stagesOfWave.MachineStage>): void {
     for (const stage of stages.values()) {
         const worker = stage.kind === "emptying" || stage.kind === "ordered"
@@ -147,7 +150,7 @@
     }
 }
 
-/** How long work may go on where a machine is to be emptied, so that the wave still ends in time. */
+/** Returns how long tasks may continue on a machine that is being drained, so that the wave still ends in time. */
 function getPatienceMs(options: UpkeepOptions, { wave, knownAt, stages }: RunningWave): number {
     const left = [...stages.values()].filter(stage => stage.kind === "pending" || stage.kind === "emptying").length;
     const rounds = Math.max(1, Math.ceil(left / wave.maxCount));
@@ -155,7 +158,7 @@
     return Math.max(0, (leftMs / rounds - options.upkeepMs - 2 * STEP_MS) * PATIENCE_SHARE);
 }
 
-/** Whether nothing runs there; otherwise sees to it that nothing does soon. */
+/** Returns whether no task is on the machine's worker; if not, stops those that must not continue. */
 function isEmpty(
     options: UpkeepOptions,
     current: RunningWave,
@@ -201,7 +204,7 @@
             break;
         case "busy":
         case "unknown":
-            // Asked again in the next step: an order that was carried out is accepted again.
+            // Retried in the next step: an order that was executed is accepted again.
             break;
         case "unknownMachine": {
             stages.set(machineId, { kind: "gone" });
@@ -217,7 +220,7 @@
     }
 }
 
-/** Lasting tasks never end by themselves, so they move first, as many as their step may miss. */
+/** Stops lasting tasks first, as many as their step may miss, since they never end by themselves. */
 function stopWork(options: UpkeepOptions, worker: entries.WorkerEntry, patienceOver: boolean): void {
     for (const task of worker.tasks) {
         const { spec } = task.step;
@@ -227,7 +230,7 @@
     }
 }
 
-/** Whether one more task of a lasting step may be away from its work. */
+/** Returns whether one more task of a lasting step may be missing. */
 function mayMissOneMore(step: entries.StepEntry): boolean {
     return step.spec.mayMiss === 0 || entries.countUnavailable(step) < step.spec.mayMiss;
 }
--- a/src/leader/upkeepRows.ts
+++ b/src/leader/upkeepRows.ts
@@ -1,9 +1,8 @@
 /**
- * Which machines of a wave were ordered down, as it is stored before the order goes out.
+ * Stores which machines of a wave were ordered down, before each order is sent.
  *
- * What goes wrong when it is stored after the order: the leader dies in between, or an order without an answer is
- * carried out seconds later. The successor knows nothing of that machine and takes down as many others as the wave
- * allows. One notices more machines down than allowed.
+ * If it were stored after the order, the leader could fail in between, or an unanswered order could be executed seconds
+ * later. The successor would not know of that machine, and more machines than allowed would be down.
  */
 import * as rows from "../rows/index";
 import * as work from "../work/index";
@@ -20,15 +19,15 @@
 
 const TABLE = "upkeep";
 /**
- * With all orders of a wave in one row, a wave of more than 877 machines stands still: 56 bytes each, and the store
- * refuses a row of more than 49,152 bytes before it is encoded. So many take 11 kB, which leaves room for longer names;
- * the 99 rows that a transaction has room for beside its guard hold 19,800 machines.
+ * A machine takes 56 bytes, and the store refuses rows of more than 49,152 bytes before base64: with all orders in one
+ * row, a wave of more than 877 machines could not proceed. 200 machines take 11 kB, which leaves room for longer names;
+ * the 99 rows that fit into a transaction beside its guard hold 19,800 machines.
  */
 const MACHINES_PER_ROW = 200;
-/** Stands for the worker of a machine whose upkeep is over: any present life is a later one. */
+/** Stored as the worker of a machine whose upkeep is done: any worker on the machine is a later incarnation. */
 const EARLIER_LIFE = "";
 
-/** The stages as the latest leader stored them; `undefined` when they cannot be read now. */
+/** Reads the stages as the last leader stored them; `undefined` if they cannot be read now. */
 export async function readStages(
     options: UpkeepRowsOptions,
     wave: number,
@@ -53,7 +52,9 @@
     }));
 }
 
-/** Whether the stages are stored now. They have to be in the order of the wave's machines, which never changes. */
+/**
+ * Writes the stages; returns whether they are stored. They must be in the order of the wave's machines, which is fixed.
+ */
 export async function writeStages(
     options: UpkeepRowsOptions,
     wave: number,
@@ -62,7 +63,7 @@
     const entries = [...stages];
     const puts: rows.RowPut[] = [];
     for (let first = 0; first < entries.length; first += MACHINES_PER_ROW) {
-        // Also without an order in it: one may have been stored there that holds no longer.
+        // Written even without an order in it, to replace a stored order that is no longer valid.
         const value = JSON.stringify(toOrdered(entries.slice(first, first + MACHINES_PER_ROW)));
         puts.push({ table: TABLE, part: work.LEADER_PART, key: getKey(wave, first / MACHINES_PER_ROW), value });
     }
@@ -88,7 +89,7 @@
     return row === 0 ? String(wave) : `${wave}.${row}`;
 }
 
-/** `/` follows the point in the order of keys, and precedes all digits. */
+/** In the order of keys, `/` sorts after `.` and before all digits. */
 function getRange(wave: number): rows.RowRange {
     return { table: TABLE, part: work.LEADER_PART, from: String(wave), before: `${wave}/` };
 }
--- a/src/leader/upkeepStages.ts
+++ b/src/leader/upkeepStages.ts
@@ -1,22 +1,22 @@
-/** Where each machine of a wave is on its way, and what the platform's list of machines says of it. */
+/** The stage of each machine of a wave, updated from the platform's list of machines. */
 import type * as machines from "./machines";
 
 export type MachineStage =
     | { readonly kind: "pending"; }
-    /** Gets no new work, until nothing runs there. */
+    /** Drained: gets no new tasks, and is ordered down when no task is left. */
     | { readonly kind: "emptying"; readonly workerName: string; readonly since: number; }
-    /** The order is stored, and may be under way; since `confirmedAt` the upkeep is known to have begun, or to be over. */
+    /** The order is stored and may be in flight; at `confirmedAt` the upkeep was known to have begun, or to be over. */
     | { readonly kind: "ordered"; readonly workerName: string; readonly confirmedAt: number | undefined; }
     | { readonly kind: "done"; }
-    /** No longer the platform's, or not of this wave. */
+    /** Not listed by the platform, or not part of this wave. */
     | { readonly kind: "gone"; };
 
 export type MachineStages = Map<string, MachineStage>;
 export type PresentMachines = ReadonlyMap<string, machines.Machine>;
 
 /**
- * Takes note of machines that came back, or that are no longer there. A machine whose order was confirmed and that is
- * up for `longestMs` had its upkeep before: the order was a repetition.
+ * Updates the stages of machines that came back or that are no longer listed. A machine that is still up `longestMs`
+ * after its order was confirmed had its upkeep before: the order was a repetition.
  */
 export function updateStages(stages: MachineStages, present: PresentMachines, now: number, longestMs: number): void {
     for (const [id, stage] of stages) {
@@ -29,7 +29,7 @@
         }
         switch (stage.kind) {
             case "ordered":
-                stages.set(id, noteOrdered(stage, machine, now, longestMs));
+                stages.set(id, updateOrdered(stage, machine, now, longestMs));
                 break;
             case "emptying":
                 if (machine.up && machine.workerName !== stage.workerName) {
@@ -46,7 +46,7 @@
     }
 }
 
-function noteOrdered(
+function updateOrdered(
     stage: Extract<MachineStage, { kind: "ordered"; }>,
     machine: machines.Machine,
     now: number,
@@ -60,13 +60,13 @@
     }
     const isNewLife = machine.workerName !== stage.workerName;
     if (stage.confirmedAt === undefined) {
-        // The worker may have crashed before the order arrived: what runs on its new life must not end by the order.
+        // The worker may have crashed before the order arrived: the order must not kill tasks of its new incarnation.
         return isNewLife ? { kind: "emptying", workerName: machine.workerName, since: now } : stage;
     }
     return isNewLife || now - stage.confirmedAt > longestMs ? { kind: "done" } : stage;
 }
 
-/** Machines of the wave that are down for their upkeep, or will be without a further decision. */
+/** Counts the machines of the wave that are down for upkeep, or are being drained or ordered down. */
 export function countOutOfService(stages: ReadonlyMap<string, MachineStage>, present: PresentMachines): number {
     let taken = 0;
     for (const [id, stage] of stages) {
