--- a/src/leader/__tests__/bestEffortPacing.test.ts
+++ b/src/leader/__tests__/bestEffortPacing.test.ts
@@ -58,7 +58,7 @@
         serving!.recentFigure = tailMs;
         filling!.pacePercent = pacePercent;
         const orders: Array<readonly [task: string, percent: number]> = [];
-        bestEffortPacing.paceFillers(worker, (task, percent) => orders.push([task.name, percent]));
+        bestEffortPacing.paceBestEffortTasks(worker, (task, percent) => orders.push([task.name, percent]));
         expect(orders).toEqual(told === undefined ? [] : [[filling!.name, told]]);
     });
 });
--- a/src/leader/advice.ts
+++ b/src/leader/advice.ts
@@ -14,6 +14,7 @@
     onTicketsChanged(): void;
 }
 
+/** Requests tickets for waiting steps. */
 export interface AdviceRequester {
     /** Requests tickets for each step that waits and does not fit on the workers for which it holds valid tickets. */
     requestAdvice(waiting: readonly units.UnitOfTasks[], placeable: readonly entries.WorkerEntry[]): void;
@@ -27,6 +28,7 @@
 /** Delay before the next call for a step after a call without a usable answer. */
 const RETRY_MS = 300;
 
+/** Creates a requester with at most one call in flight for each step. */
 export function createAdviceRequester(options: AdviceRequesterOptions): AdviceRequester {
     const pendingSteps = new Set<string>();
     /** Unsuitable workers by step. A worker's suitability for a step does not change. */
@@ -48,14 +50,14 @@
             const unsuitable = unsuitableByStep.get(step) ?? new Set<string>();
             workers.forEach(worker => unsuitable.add(worker.id));
             const idsByName = new Map(workers.map(worker => [worker.incarnation.name, worker.id]));
-            for (const good of result.suitable) {
-                const workerId = idsByName.get(good.workerName);
+            for (const grant of result.suitable) {
+                const workerId = idsByName.get(grant.workerName);
                 if (workerId === undefined) {
                     continue;
                 }
                 unsuitable.delete(workerId);
                 step.tickets.set(workerId, {
-                    ticket: good.ticket,
+                    ticket: grant.ticket,
                     until: sentAt + (result.validMs || advice.validMs) - TICKET_MARGIN_MS,
                 });
             }
--- a/src/leader/bestEffortPacing.ts
+++ b/src/leader/bestEffortPacing.ts
@@ -9,7 +9,7 @@
  * Called after each poll: decides the pace of the worker's best-effort tasks from the latency-sensitive tasks' latest
  * tail latencies.
  */
-export function paceFillers(
+export function paceBestEffortTasks(
     worker: entries.WorkerEntry,
     setPace: (task: entries.TaskEntry, percent: number) => void,
 ): void {
--- a/src/leader/directory.ts
+++ b/src/leader/directory.ts
@@ -7,6 +7,7 @@
     follow(signal: AbortSignal, onWorkers: (listed: readonly ListedWorker[]) => void): void;
 }
 
+/** A worker as the directory lists it. */
 export interface ListedWorker extends Omit<entries.WorkerInfo, "id"> {
     /** Name of the worker, the same in each of its incarnations. */
     readonly name: string;
--- a/src/leader/execution.ts
+++ b/src/leader/execution.ts
@@ -10,7 +10,7 @@
 export interface ExecutionOptions {
     readonly jobRegistry: jobRegistries.JobRegistry;
     readonly orders: ordersOfTerm.Orders;
-    readonly contact: reachabilityCheck.ReachabilityCheck;
+    readonly reachability: reachabilityCheck.ReachabilityCheck;
     readonly log: observe.Log;
     readonly meter: observe.Meter;
     getWorker(id: string): entries.WorkerEntry;
@@ -25,6 +25,7 @@
     readonly groups: ReadonlyMap<string, units.GroupOfTasks>;
 }
 
+/** Requests the plan's stops and starts; does not wait for the answers. */
 export function executePlan(options: ExecutionOptions, pass: PlannedPass): void {
     pass.plan.stops.forEach(stop => stopGroup(options, pass, stop));
     if (pass.plan.starts.length === 0) {
@@ -32,7 +33,7 @@
     }
     const tasksByUnit = new Map(pass.waiting.map(item => [item.unit.key, item.tasks]));
     const isSure = ({ unit, workerIds }: decisions.PlannedStart) =>
-        options.contact.mayPlace(tasksByUnit.get(unit.key)!, workerIds.map(options.getWorker));
+        options.reachability.mayPlace(tasksByUnit.get(unit.key)!, workerIds.map(options.getWorker));
     const placed = pass.plan.starts
         .filter(isSure)
         .flatMap(start => placeUnit(options, start, tasksByUnit.get(start.unit.key)!));
--- a/src/leader/followIntake.ts
+++ b/src/leader/followIntake.ts
@@ -23,6 +23,7 @@
 const READ_SILENCE_MS = 1_500;
 const RETRY_PAUSE_MS = 100;
 
+/** Passes on changed rows of the intake until the signal is aborted. Reads all rows after a gap in the changes. */
 export async function followIntake(options: FollowIntakeOptions): Promise<void> {
     const { store, signal } = options;
     let after = options.after;
--- a/src/leader/gauges.ts
+++ b/src/leader/gauges.ts
@@ -8,6 +8,7 @@
     isPlaceable(worker: entries.WorkerEntry): boolean;
 }
 
+/** Counts jobs, tasks, workers and accelerators by their labels. */
 export function readGauges(input: GaugesInput): observe.GaugeSample[] {
     const jobs = createTally("jobs");
     const tasks = createTally("tasks");
--- a/src/leader/handover.ts
+++ b/src/leader/handover.ts
@@ -30,6 +30,7 @@
     readonly power: number;
 }
 
+/** Port to the other instances for a handover. No call rejects. */
 export interface HandoverPort {
     /** Known addresses of other instances. */
     getCandidates(): readonly string[];
@@ -41,7 +42,10 @@
 
 export interface HandoverOptions {
     readonly port: HandoverPort;
-    readonly lease: Pick<lease.Lease, "getOffer" | "isRenewalLate" | "cede" | "takeFrom" | "getObservation">;
+    readonly lease: Pick<
+        lease.Lease,
+        "getHandoverOffer" | "isRenewalOverdue" | "endTermForHandover" | "takeOverFrom" | "getObservation"
+    >;
     readonly store: rows.RowStore;
     readonly clock: clock.Clock;
     readonly log: observe.Log;
@@ -50,6 +54,7 @@
     isStoreUnreachable(): boolean;
 }
 
+/** The handover of leadership, from the sides of the leader and of a candidate. */
 export interface Handover {
     /**
      * Called when the store may be lost. If this instance leads, verifies the loss and looks for a successor until the
@@ -90,19 +95,21 @@
         const lead = { table: work.Table.LeaderLease, part: work.LEADER_PART, limit: 1 };
         return (await options.store.read(lead, READ_TIMEOUT_MS)).kind === "read";
     };
-    const isStoreSuspect = () => options.isStoreUnreachable() || held.isRenewalLate();
+    const isStoreSuspect = () => options.isStoreUnreachable() || held.isRenewalOverdue();
     let offering = false;
     const offerUntilRecovered = async () => {
         while (isStoreSuspect() && !options.signal.aborted) {
-            const offer = held.getOffer();
+            const offer = held.getHandoverOffer();
             if (!offer || (!options.isStoreUnreachable() && await canReadStore())) {
                 return;
             }
             // Probes the store at the same time: when it becomes reachable for all instances, another may notice first.
             const [successor, reads] = await Promise.all([findSuccessor(offer), canReadStore()]);
-            if (!reads && successor !== undefined && isStoreSuspect() && held.getOffer()?.token === offer.token) {
+            if (
+                !reads && successor !== undefined && isStoreSuspect() && held.getHandoverOffer()?.token === offer.token
+            ) {
                 log.info("leadHandedOver", { token: offer.token, to: successor });
-                held.cede();
+                held.endTermForHandover();
                 await port.notifySuccessor(successor, offer, QUERY_TIMEOUT_MS);
                 return;
             }
@@ -124,6 +131,6 @@
             }
             return await canReadStore() && isCurrent() ? { power: options.power } : undefined;
         },
-        take: offer => held.takeFrom(offer.token),
+        take: offer => held.takeOverFrom(offer.token),
     };
 }
--- a/src/leader/handoverCalls.ts
+++ b/src/leader/handoverCalls.ts
@@ -8,6 +8,7 @@
 /** Encodes an instance that cannot lead; the power of a candidate is greater. */
 const NO_POWER = 0;
 
+/** Creates the client side of the handover. */
 export function createHandoverPort(
     client: calls.HttpClient,
     getCandidates: () => readonly string[],
@@ -28,6 +29,7 @@
     };
 }
 
+/** Creates the routes of the candidate side. A malformed offer is answered with status 400. */
 export function createHandoverRoutes(handler: Pick<handover.Handover, "answer" | "take">): calls.CallRoute[] {
     return [
         {
--- a/src/leader/heldLease.ts
+++ b/src/leader/heldLease.ts
@@ -4,6 +4,7 @@
 import type * as rows from "../rows/index";
 import * as renewalsOfTerm from "./renewals";
 
+/** The rights of a term's leader. */
 export interface Leadership {
     readonly token: number;
     readonly signal: AbortSignal;
@@ -19,6 +20,7 @@
     readonly predecessorsInactiveAt: number;
 }
 
+/** A held lease: the leadership that it gives, its renewals, and the controller that ends the term. */
 export interface HeldLease {
     readonly leadership: Leadership;
     readonly controller: AbortController;
@@ -37,22 +39,22 @@
  */
 export const EXTENSION_GRACE_MS = 9_000;
 
-export function createHeldLease(time: clock.Clock, start: HeldLeaseOptions): HeldLease {
+export function createHeldLease(time: clock.Clock, options: HeldLeaseOptions): HeldLease {
     const controller = new AbortController();
     // Each task that is being stopped adds a listener.
     events.setMaxListeners(0, controller.signal);
-    const renewals = renewalsOfTerm.createRenewals({ ...start, clock: time });
+    const renewals = renewalsOfTerm.createRenewals({ ...options, clock: time });
     return {
         controller,
         renewals,
         leadership: {
-            token: start.token,
-            guard: start.guard,
+            token: options.token,
+            guard: options.guard,
             signal: controller.signal,
             transact: renewals.transact,
             mayIssueOrders: () => !controller.signal.aborted && renewals.getRemainingMs() > 0,
             mayExtendTaskLeases: () => !controller.signal.aborted && renewals.getRemainingMs() + EXTENSION_GRACE_MS > 0,
-            predecessorsInactiveAt: start.predecessorsInactiveAt,
+            predecessorsInactiveAt: options.predecessorsInactiveAt,
         },
     };
 }
--- a/src/leader/holderMonitor.ts
+++ b/src/leader/holderMonitor.ts
@@ -14,13 +14,14 @@
     readonly clock: clock.Clock;
     readonly log: observe.Log;
     /** Incarnation of this process, which does not watch itself. */
-    readonly life: string;
+    readonly incarnationId: string;
     /** Watches the holder's process; `onExit` is called when it is certain to have exited. */
     watchHolder(address: string, onExit: () => void): ProcessWatch;
     /** The watched holder's process has exited. */
     onExit(): void;
 }
 
+/** Monitors the process of the present lease holder. */
 export interface HolderMonitor {
     /** Watches the holder of the latest record. */
     follow(record: leaseRecord.LeaseRecord): void;
@@ -64,7 +65,7 @@
             watch?.end();
             watch = undefined;
             watchedHolder = record.holder;
-            if (record.watchAddress === "" || record.holder === options.life) {
+            if (record.watchAddress === "" || record.holder === options.incarnationId) {
                 return;
             }
             watch = options.watchHolder(record.watchAddress, () => {
--- a/src/leader/jobRegistry.ts
+++ b/src/leader/jobRegistry.ts
@@ -16,6 +16,7 @@
 import * as workerLosses from "./workerLosses";
 import type * as port from "./workerPort";
 
+/** Callbacks for changes that need an order, a stored row or a pass. */
 export interface JobRegistryListener {
     onOccurrenceChanged(occurrence: entries.OccurrenceEntry): void;
     onJobChanged(job: entries.JobEntry): void;
@@ -46,6 +47,7 @@
     readonly thrownAway: thrownAways.ThrownAwayWork;
 }
 
+/** Jobs, occurrences and tasks of a term, and their transitions. */
 export interface JobRegistry extends restore.Restorer {
     readonly jobs: ReadonlyMap<string, entries.JobEntry>;
     /** Jobs that have not ended. */
@@ -63,7 +65,7 @@
     requestStop(task: entries.TaskEntry, reason: string): void;
     recordRunEnd(worker: entries.WorkerEntry, end: port.TaskEnd): void;
     /** Records the progress that the task's worker reported. */
-    recordProgress(task: entries.TaskEntry, told: port.RunningTask): void;
+    recordProgress(task: entries.TaskEntry, progress: port.RunningTask): void;
     /** Handles the loss of a worker: its incarnation has ended, or the leases of all its tasks have expired. */
     loseTasksOf(
         worker: entries.WorkerEntry,
@@ -93,7 +95,7 @@
         return occurrence;
     };
 
-    const stopAll = (occurrence: entries.OccurrenceEntry, reason: string) => {
+    const stopOccurrence = (occurrence: entries.OccurrenceEntry, reason: string) => {
         for (const step of occurrence.steps) {
             for (const task of step.tasks) {
                 registry.requestStop(task, reason);
@@ -101,7 +103,7 @@
         }
     };
 
-    const { endJob, markDone, markStepDone, countFailure, failOccurrence: endFailed } = outcomes.createOutcomes({
+    const { endJob, markDone, markStepDone, countFailure, failOccurrence } = outcomes.createOutcomes({
         clock: time,
         log,
         meter,
@@ -110,10 +112,10 @@
         estimateRunMs: options.estimateRunMs,
         disabledMechanisms: options.disabledMechanisms,
         onJobEnded: job => active.delete(job),
-        stopOccurrence: stopAll,
+        stopOccurrence,
     });
 
-    const toWaiting = (task: entries.TaskEntry) => {
+    const requeue = (task: entries.TaskEntry) => {
         task.phase = "waiting";
         task.waitingSince = time.now();
         task.stopAcceptedAt = undefined;
@@ -122,7 +124,7 @@
     };
 
     /** A gang cannot continue without one of its members: the others are stopped, and all restart together. */
-    const breakGang = (task: entries.TaskEntry, reason: string) => {
+    const stopOtherMembers = (task: entries.TaskEntry, reason: string) => {
         if (!task.step.spec.gang) {
             return;
         }
@@ -197,21 +199,21 @@
         getWorkers: options.getWorkers,
         estimateRunMs: options.estimateRunMs,
         countThrownAway,
-        requeue: toWaiting,
-        stopOtherMembers: breakGang,
+        requeue,
+        stopOtherMembers,
         onStopRequested: listener.onStopRequested,
-        failOccurrence: task => endFailed(task.step.occurrence),
+        failOccurrence: task => failOccurrence(task.step.occurrence),
         onOccurrenceChanged: listener.onOccurrenceChanged,
     });
 
-    const restoring = restore.createRestorer({
+    const restorer = restore.createRestorer({
         clock: time,
         active,
         openOccurrence,
         markStepDone,
-        endFailed,
+        failOccurrence,
         requestStop: (task, reason) => registry.requestStop(task, reason),
-        stopAll,
+        stopOccurrence,
         enforceCrashLimit: losses.enforceCrashLimit,
     });
 
@@ -230,7 +232,7 @@
             listener.onChanged();
             return job;
         },
-        ...restoring,
+        ...restorer,
         cancelJob: jobId => {
             const job = jobs.get(jobId);
             if (!job || job.cancelled || !active.has(job)) {
@@ -240,7 +242,7 @@
             endJob(job, "cancelled");
             for (const occurrence of job.occurrences.values()) {
                 occurrence.isEnded = true;
-                stopAll(occurrence, "jobCancelled");
+                stopOccurrence(occurrence, "jobCancelled");
             }
         },
         getTask: name => tasks.get(name),
@@ -298,8 +300,8 @@
                 return;
             }
             crashHistory.refundStart(task.crashes);
-            toWaiting(task);
-            breakGang(task, "gangIncomplete");
+            requeue(task);
+            stopOtherMembers(task, "gangIncomplete");
             losses.enforceCrashLimit(task);
         },
         requestStop: (task, reason) => {
@@ -307,7 +309,7 @@
                 case "recording":
                     entries.unassign(task);
                     crashHistory.refundStart(task.crashes);
-                    toWaiting(task);
+                    requeue(task);
                     losses.enforceCrashLimit(task);
                     break;
                 case "ordered":
@@ -317,7 +319,7 @@
                     task.stopAcceptedAt = undefined;
                     listener.onStopRequested(task);
                     // Only this member is missing; the others may still run on their workers.
-                    breakGang(task, reason === entries.MISSING_RUN_REASON ? "gangIncomplete" : reason);
+                    stopOtherMembers(task, reason === entries.MISSING_RUN_REASON ? "gangIncomplete" : reason);
                     break;
                 case "waiting":
                 case "stopping":
@@ -364,7 +366,7 @@
                     : time.now() + decisions.PREEMPTION_BACKOFF_MS;
                 task.preemptions++;
             }
-            toWaiting(task);
+            requeue(task);
             if (end.how === "failed") {
                 countFailure(task, end.run, worker);
             }
@@ -379,23 +381,23 @@
                     saved: end.saved !== "",
                 });
             }
-            breakGang(task, `gang member ended: ${end.how}`);
+            stopOtherMembers(task, `gang member ended: ${end.how}`);
             losses.enforceCrashLimit(task);
         },
-        recordProgress: (task, told) => {
-            recordCheckpoint(task, told.saved);
-            task.recentFigure = told.recentFigure;
+        recordProgress: (task, progress) => {
+            recordCheckpoint(task, progress.saved);
+            task.recentFigure = progress.recentFigure;
             task.lastReportAt = time.now();
-            if (told.percent > 0) {
+            if (progress.percent > 0) {
                 crashHistory.recordRunTime(task.crashes, entries.getObservedMs(task));
             }
             task.worker?.unconfirmedStarts.delete(task.name);
-            decisions.recordProgress(task.speed, told.percent, time.now());
+            decisions.recordProgress(task.speed, progress.percent, time.now());
             if (task.phase === "ordered") {
                 registry.confirmRunning(task);
             }
-            if (told.percent > task.percent) {
-                task.percent = told.percent;
+            if (progress.percent > task.percent) {
+                task.percent = progress.percent;
                 task.lastProgressAt = time.now();
             }
         },
--- a/src/leader/lease.ts
+++ b/src/leader/lease.ts
@@ -15,6 +15,7 @@
 import * as renewals from "./renewals";
 import * as waitingCounts from "./waitingCounts";
 
+/** The latest known version of the lease. */
 export interface LeaseObservation {
     readonly record: leaseRecord.LeaseRecord;
     readonly version: number;
@@ -35,7 +36,7 @@
     /** Address at which this instance accepts forwarded requests; empty if it accepts none. */
     readonly peerAddress: string;
     /** Watches the holder's process; `onGone` is called when it is certain to have exited. */
-    watchHolder(address: string, onGone: () => void): holderMonitor.ProcessWatch;
+    watchHolder(address: string, onExit: () => void): holderMonitor.ProcessWatch;
     /** Processor time available to this instance, in cores. */
     readonly power: number;
     readonly signal: AbortSignal;
@@ -45,25 +46,26 @@
     onElected(leadership: heldLease.Leadership): void;
 }
 
+/** The lease of leadership as this instance sees it. */
 export interface Lease {
     getObservation(): LeaseObservation | undefined;
     isLeading(): boolean;
     /** Ends the term because another leader's token was seen. */
     endTerm(reason: string): void;
     /** The term that this instance could hand over; `undefined` if it does not lead. */
-    getOffer(): { readonly holder: string; readonly token: number; } | undefined;
+    getHandoverOffer(): { readonly holder: string; readonly token: number; } | undefined;
     /** Whether this instance leads and the renewal of its lease is overdue. */
-    isRenewalLate(): boolean;
+    isRenewalOverdue(): boolean;
     /** Ends the term in favour of a successor that is notified directly. */
-    cede(): void;
+    endTermForHandover(): void;
     /** Takes the lease over from a term that its holder has ended. */
-    takeFrom(token: number): void;
+    takeOverFrom(token: number): void;
     /** Releases the lease, so that a successor need not wait for its expiry. */
     release(): Promise<void>;
 }
 
 /** Lease expiry for a holder that sends no heartbeats either: one renewal is missing. */
-const SILENT_LEASE_MS = 900;
+const NO_HEARTBEAT_LEASE_MS = 900;
 /** After an outage of the store the holder gets this long to renew first: a takeover polls every worker. */
 const RENEWAL_GRACE_MS = 1_200;
 /** An instance with this many times the holder's processor time takes over. */
@@ -90,7 +92,7 @@
     const holder = holderMonitor.createHolderMonitor({
         clock: time,
         log,
-        life: options.life,
+        incarnationId: options.life,
         watchHolder: options.watchHolder,
         onExit: () => wake?.(),
     });
@@ -160,19 +162,19 @@
      * Whether the last holder's term has certainly ended: released, handed over, or of an earlier incarnation of this
      * instance.
      */
-    const isHolderOver = ({ record }: LeaseObservation) =>
+    const isHolderTermOver = ({ record }: LeaseObservation) =>
         record.holder === "" || record.instance === options.instance || record.token === handedOverToken;
     /**
      * A power failure or a network partition ends both renewals and heartbeats, while a slow store delays only
      * renewals. So the expiry may be shortened when both are missing; the fencing token makes a takeover safe at any
      * time.
      */
-    const getExpiryReductionMs = () => holder.hasMissedHeartbeats() ? renewals.LEASE_MS - SILENT_LEASE_MS : 0;
+    const getExpiryReductionMs = () => holder.hasMissedHeartbeats() ? renewals.LEASE_MS - NO_HEARTBEAT_LEASE_MS : 0;
     const isFree = (): boolean => {
         if (!observed) {
             return true;
         }
-        if (isHolderOver(observed) || holder.hasExited(observed.record)) {
+        if (isHolderTermOver(observed) || holder.hasExited(observed.record)) {
             return true;
         }
         const now = time.now();
@@ -182,11 +184,11 @@
     };
     const createRecord = (
         token: number,
-        othersSilentAt: number,
+        predecessorsInactiveAt: number,
         leaseMs = renewals.LEASE_MS,
         waiting?: Readonly<Record<string, number>>,
     ): leaseRecord.LeaseRecord => {
-        const fitted = waiting && waitingCounts.truncateCounts(waiting);
+        const truncated = waiting && waitingCounts.truncateCounts(waiting);
         return {
             holder: options.life,
             instance: options.instance,
@@ -195,9 +197,9 @@
             peerAddress: options.peerAddress,
             power: options.power,
             leaseMs,
-            othersProlongMs: Math.ceil(Math.max(0, othersSilentAt - time.now())) || undefined,
-            waiting: fitted?.counts,
-            othersWait: fitted?.complete === false || undefined,
+            othersProlongMs: Math.ceil(Math.max(0, predecessorsInactiveAt - time.now())) || undefined,
+            waiting: truncated?.counts,
+            othersWait: truncated?.complete === false || undefined,
         };
     };
     /**
@@ -210,7 +212,7 @@
         }
         const inheritedUntil = observed.seenAt + (observed.record.othersProlongMs ?? 0);
         // The holder may still be alive, and may have renewed just before its lease was taken.
-        return isHolderOver(observed)
+        return isHolderTermOver(observed)
             ? Math.max(now, inheritedUntil)
             : now + observed.record.leaseMs + heldLease.EXTENSION_GRACE_MS;
     };
@@ -218,7 +220,7 @@
      * Reads the lease to verify that it has not been renewed, since a slow store delivers changes late. Without this
      * check all instances would write at once, and those writes would delay the holder's renewals by seconds.
      */
-    const isStillUnchanged = async () => {
+    const isLeaseUnchanged = async () => {
         const before = observed?.version;
         const outcome = await options.store.read(leaseRecord.LEASE_RANGE, CALL_TIMEOUT_MS);
         if (outcome.kind === "read") {
@@ -227,13 +229,13 @@
         return outcome.kind === "read" && observed?.version === before;
     };
     const acquire = async () => {
-        if (observed && !isHolderOver(observed) && !await isStillUnchanged()) {
+        if (observed && !isHolderTermOver(observed) && !await isLeaseUnchanged()) {
             return;
         }
         const sentAt = clock.getTimestamp(time);
         const token = (observed?.record.token ?? 0) + 1;
-        const othersSilentAt = getPredecessorsInactiveAt(sentAt.monotonicMs);
-        const record = createRecord(token, othersSilentAt);
+        const predecessorsInactiveAt = getPredecessorsInactiveAt(sentAt.monotonicMs);
+        const record = createRecord(token, predecessorsInactiveAt);
         const wasReleased = observed?.record.holder === "";
         const outcome = await options.store.transact({
             conditions: [{ ...leaseRecord.LEASE_KEY, version: observed?.version ?? 0 }],
@@ -247,20 +249,20 @@
             return;
         }
         observed = { record, version: outcome.version, seenAt: time.now() };
-        term = startTerm(token, outcome.version, sentAt, othersSilentAt);
+        term = startTerm(token, outcome.version, sentAt, predecessorsInactiveAt);
         log.info("leadershipTaken", { token, released: wasReleased });
         options.onElected(term.leadership);
     };
-    const startTerm = (token: number, version: number, sentAt: clock.Timestamp, othersSilentAt: number) => {
+    const startTerm = (token: number, version: number, sentAt: clock.Timestamp, predecessorsInactiveAt: number) => {
         const held: heldLease.HeldLease = heldLease.createHeldLease(time, {
             log,
             token,
             guard: { ...leaseRecord.TOKEN_KEY, version },
             sentAt,
-            predecessorsInactiveAt: othersSilentAt,
+            predecessorsInactiveAt: predecessorsInactiveAt,
             createRow: leaseMs => {
                 return leaseRecord.encodeRecord(
-                    createRecord(token, othersSilentAt, leaseMs, options.getWaitingCounts()),
+                    createRecord(token, predecessorsInactiveAt, leaseMs, options.getWaitingCounts()),
                 );
             },
             onRenewed: (row, renewedVersion) => {
@@ -318,10 +320,10 @@
         getObservation: () => observed,
         isLeading: () => term !== undefined,
         endTerm: endTerm,
-        getOffer: () => term && { holder: options.life, token: term.leadership.token },
-        isRenewalLate: () => term?.renewals.isOverdue() ?? false,
-        cede: () => endTerm("handed over to an instance that reaches the store"),
-        takeFrom: token => {
+        getHandoverOffer: () => term && { holder: options.life, token: term.leadership.token },
+        isRenewalOverdue: () => term?.renewals.isOverdue() ?? false,
+        endTermForHandover: () => endTerm("handed over to an instance that reaches the store"),
+        takeOverFrom: token => {
             handedOverToken = token;
             wake?.();
         },
--- a/src/leader/leaseRecord.ts
+++ b/src/leader/leaseRecord.ts
@@ -3,6 +3,7 @@
 import * as work from "../work/index";
 import * as renewals from "./renewals";
 
+/** The stored value of the lease, as JSON. */
 export interface LeaseRecord {
     /** Id of the holder's incarnation; empty if the lease was released. */
     readonly holder: string;
@@ -39,6 +40,7 @@
     limit: 1,
 };
 
+/** Encodes the record as the row of the lease. */
 export function encodeRecord(record: LeaseRecord): rows.RowPut {
     return { ...LEASE_KEY, value: JSON.stringify(record) };
 }
--- a/src/leader/machines.ts
+++ b/src/leader/machines.ts
@@ -1,5 +1,6 @@
 /** Ports to the machines that run the workers, and to the operator's orders for their upkeep. No call rejects. */
 
+/** A machine as the platform lists it. */
 export interface Machine {
     readonly id: string;
     readonly up: boolean;
@@ -9,10 +10,12 @@
     readonly workerName: string;
 }
 
+/** The platform's list of machines. */
 export type MachinesResult =
     | { readonly kind: "machines"; readonly machines: readonly Machine[]; }
     | { readonly kind: "unavailable"; readonly message: string; };
 
+/** An order to take a machine down for upkeep. */
 export interface UpkeepOrder {
     readonly machine: string;
     readonly wave: number;
@@ -21,6 +24,7 @@
     readonly fencingToken: number;
 }
 
+/** The platform's answer to an order. */
 export type UpkeepAnswer =
     /** The upkeep has begun, or was done before. */
     | { readonly kind: "accepted"; }
@@ -32,13 +36,15 @@
     /** No conclusive answer: the upkeep may have begun. A retry is idempotent. */
     | { readonly kind: "unknown"; readonly message: string; };
 
+/** Port to the platform's machines. */
 export interface MachineService {
     list(timeoutMs: number): Promise<MachinesResult>;
     beginUpkeep(order: UpkeepOrder, timeoutMs: number): Promise<UpkeepAnswer>;
 }
 
 /**
- * An operator's order: each machine gets its upkeep within `withinMs`, with at most `maxCount` machines down at once.
+ * A rolling maintenance order of an operator: each machine gets its upkeep (maintenance) within `withinMs`, with at most
+ * `maxCount` machines down at once.
  */
 export interface Wave {
     readonly number: number;
--- a/src/leader/passTimer.ts
+++ b/src/leader/passTimer.ts
@@ -3,9 +3,10 @@
  */
 import type * as clock from "../clock/index";
 
+/** Schedules passes. */
 export interface PassTimer {
     /** Schedules a pass after this delay, or later if the last pass took long. An earlier pass that is due stands. */
-    schedulePass(leastMs: number): void;
+    schedulePass(minDelayMs: number): void;
     /** Records the duration of the last pass. */
     recordDuration(ms: number): void;
 }
@@ -22,8 +23,8 @@
     let passMs = 0;
     let nextPassAt = Infinity;
     return {
-        schedulePass: leastMs => {
-            const delayMs = Math.max(leastMs, Math.min(MAX_SPACING_MS, PASS_SPACING * passMs));
+        schedulePass: minDelayMs => {
+            const delayMs = Math.max(minDelayMs, Math.min(MAX_SPACING_MS, PASS_SPACING * passMs));
             const at = time.now() + delayMs;
             if (nextPassAt <= at) {
                 return;
--- a/src/leader/placementFilter.ts
+++ b/src/leader/placementFilter.ts
@@ -15,6 +15,7 @@
 /** Time from a placement until its start order reaches the worker. */
 const ORDER_WAY_MS = 600;
 
+/** Decides which workers are eligible for placements and starts. */
 export interface PlacementFilter {
     /** Whether tasks may be placed on the worker. */
     isPlaceable(worker: entries.WorkerEntry, now: number): boolean;
--- a/src/leader/progressRows.ts
+++ b/src/leader/progressRows.ts
@@ -3,6 +3,7 @@
 import * as crashHistory from "./crashHistory";
 import * as entries from "./entries";
 
+/** Encodes the progress of a job. */
 export function encodeJob(job: entries.JobEntry): string {
     const progress: work.JobProgress = {
         state: job.state,
@@ -13,10 +14,12 @@
     return JSON.stringify(progress);
 }
 
+/** Decodes the progress of a job. */
 export function decodeJob(text: string): work.JobProgress {
     return JSON.parse(text) as work.JobProgress;
 }
 
+/** Encodes the progress of an occurrence's tasks. */
 export function encodeOccurrence(occurrence: entries.OccurrenceEntry): string {
     return work.encodeOccurrence(occurrence.steps.map(step => step.tasks.map(toProgress)));
 }
--- a/src/leader/progressWriter.ts
+++ b/src/leader/progressWriter.ts
@@ -23,6 +23,7 @@
     onSuperseded(): void;
 }
 
+/** Stores the progress of marked entries. */
 export interface ProgressWriter {
     markOccurrence(occurrence: entries.OccurrenceEntry): void;
     markJob(job: entries.JobEntry): void;
--- a/src/leader/renewals.ts
+++ b/src/leader/renewals.ts
@@ -47,6 +47,7 @@
     onOverdue(): void;
 }
 
+/** Writes and renewals of one term. */
 export interface Renewals {
     /** Performs a write under the term's guard, combined with a renewal of the lease if one is due. */
     transact(
@@ -71,9 +72,11 @@
 export function createRenewals(options: RenewalsOptions): Renewals {
     const { clock: time, log } = options;
     const first: SentRenewal = { sentAt: options.sentAt, leaseMs: LEASE_MS };
-    /** The last renewal that was applied; below, the last one sent and those without an answer. */
+    /** The last renewal that was applied. */
     let lastApplied = first;
+    /** The last renewal that was sent. */
     let lastSent = first;
+    /** Renewals without an answer. */
     const inFlight = new Set<SentRenewal>();
     let nextAt = first.sentAt.monotonicMs + RENEWAL_INTERVAL_MS;
     /** Send time and answer time of the latest call that was answered. */
--- a/src/leader/restore.ts
+++ b/src/leader/restore.ts
@@ -10,13 +10,14 @@
     readonly active: Set<entries.JobEntry>;
     openOccurrence(job: entries.JobEntry, number: number): entries.OccurrenceEntry;
     markStepDone(step: entries.StepEntry): void;
-    endFailed(occurrence: entries.OccurrenceEntry): void;
+    failOccurrence(occurrence: entries.OccurrenceEntry): void;
     requestStop(task: entries.TaskEntry, reason: string): void;
-    stopAll(occurrence: entries.OccurrenceEntry, reason: string): void;
+    stopOccurrence(occurrence: entries.OccurrenceEntry, reason: string): void;
     /** Gives the task up if it has exceeded its limit of crashed workers. */
     enforceCrashLimit(task: entries.TaskEntry): void;
 }
 
+/** Restores stored progress. */
 export interface Restorer {
     /** Restores the state of a job from its stored progress. */
     restoreJob(job: entries.JobEntry, progress: work.JobProgress, version: number): void;
@@ -50,21 +51,21 @@
             case "waiting":
                 break;
             case "placed":
-                takeForRunning(task, getWorker(stored.workerId), options.clock.now());
+                assumeRunning(task, getWorker(stored.workerId), options.clock.now());
                 break;
             case "closing":
-                takeForRunning(task, getWorker(stored.workerId), options.clock.now());
+                assumeRunning(task, getWorker(stored.workerId), options.clock.now());
                 options.requestStop(task, entries.MISSING_RUN_REASON);
                 break;
         }
     };
     /** The earlier leader may have failed after it counted the last attempt and before it stored the end of the job. */
-    const judgeRestored = (task: entries.TaskEntry) => {
+    const enforceLimits = (task: entries.TaskEntry) => {
         options.enforceCrashLimit(task);
         const { step } = task;
         const { maxAttempts } = step.occurrence.job.queue;
         if (!step.spec.lasting && !task.worker && task.failures >= maxAttempts) {
-            options.endFailed(step.occurrence);
+            options.failOccurrence(step.occurrence);
         }
     };
     /**
@@ -108,16 +109,16 @@
                 }
                 stopIncompleteGang(step);
             }
-            occurrence.steps.forEach(step => step.tasks.forEach(judgeRestored));
+            occurrence.steps.forEach(step => step.tasks.forEach(enforceLimits));
             if (occurrence.isEnded) {
-                options.stopAll(occurrence, "jobOver");
+                options.stopOccurrence(occurrence, "jobOver");
             }
         },
     };
 }
 
 /** Assumes that the task runs, until its worker reports otherwise. */
-function takeForRunning(task: entries.TaskEntry, worker: entries.WorkerEntry, now: number): void {
+function assumeRunning(task: entries.TaskEntry, worker: entries.WorkerEntry, now: number): void {
     entries.assign(task, worker);
     task.phase = "running";
     task.pacePercent = undefined;
--- a/src/leader/retention.ts
+++ b/src/leader/retention.ts
@@ -27,6 +27,7 @@
 const JOBS_PER_CHECK = 20;
 const CALL_TIMEOUT_MS = 2_000;
 
+/** Removes the rows of old jobs periodically until the term ends. */
 export async function runRetention(options: RetentionOptions): Promise<void> {
     const { signal } = options.leadership;
     while (!signal.aborted) {
--- a/src/leader/stalledSteps.ts
+++ b/src/leader/stalledSteps.ts
@@ -18,6 +18,7 @@
 /** Maximum steps per report; those that have waited longest are chosen. */
 const MAX_REPORTED = 4;
 
+/** Logs the steps that have waited longest, with the workers that remain after each condition. */
 export function logStalledSteps(options: StalledStepsOptions): void {
     const stalled = options.waiting
         .filter(({ unit, tasks }) => unit.waitedMs >= REPORT_AFTER_MS && !hasPlacedTask(tasks[0]!.step.occurrence))
--- a/src/leader/term.ts
+++ b/src/leader/term.ts
@@ -19,12 +19,12 @@
 import type * as machines from "./machines";
 import * as ordersOfTerm from "./orders";
 import * as passTimer from "./passTimer";
-import * as placeable from "./placementFilter";
+import * as placementFilter from "./placementFilter";
 import * as progressWriter from "./progressWriter";
 import * as reachabilityCheck from "./reachabilityCheck";
 import * as reconcile from "./reconcile";
 import * as retention from "./retention";
-import * as slowness from "./slowWorkers";
+import * as slowWorkers from "./slowWorkers";
 import * as stalledSteps from "./stalledSteps";
 import * as takeover from "./takeover";
 import * as taskWatchdog from "./taskWatchdog";
@@ -61,6 +61,7 @@
     onSuperseded(reason: string): void;
 }
 
+/** A running term. */
 export interface Term {
     /** Number of jobs by queue of which no task has started; `undefined` until the stored jobs are loaded. */
     getWaitingCounts(): Readonly<Record<string, number>> | undefined;
@@ -80,13 +81,14 @@
  * Share of a lease after which it is extended. Of a lease of 6 s at least 5 s are then left when a network partition
  * begins, so tasks survive partitions of that length.
  */
-const LOOK_SHARE = 1 / 6;
+const POLL_SHARE = 1 / 6;
 
+/** Starts a term, which runs until the signal of its leadership is aborted. */
 export function createTerm(options: TermOptions): Term {
     const { clock: time, log, meter, leadership } = options;
     const { signal } = leadership;
-    const { disabledMechanisms: leftOut } = options.policy;
-    const pollWaitMs = Math.round(Math.min(MAX_POLL_WAIT_MS, LOOK_SHARE * options.maxLeaseMs));
+    const { disabledMechanisms } = options.policy;
+    const pollWaitMs = Math.round(Math.min(MAX_POLL_WAIT_MS, POLL_SHARE * options.maxLeaseMs));
     const predictor = decisions.createPredictor();
     const pollLimiter = initialPollLimiter.createInitialPollLimiter(
         time,
@@ -110,10 +112,10 @@
         meter,
         signal,
         getQueue: name => options.catalog.getQueue(name),
-        getExpectedTimes: job => units.getExpectedTimes(job, expect),
-        estimateRunMs: step => expect(step),
+        getExpectedTimes: job => units.getExpectedTimes(job, estimateRunMs),
+        estimateRunMs: step => estimateRunMs(step),
         getWorkers: () => registry.workers.values(),
-        disabledMechanisms: leftOut,
+        disabledMechanisms,
         thrownAway,
         listener: {
             onOccurrenceChanged: writer.markOccurrence,
@@ -132,7 +134,7 @@
         getSession: worker => registry.getSession(worker),
         mayOrder: leadership.mayIssueOrders,
         mayStart: worker => mayStart(worker, time.now()),
-        disabledMechanisms: leftOut,
+        disabledMechanisms,
     });
     const reachability = reachabilityCheck.createReachabilityCheck({
         clock: time,
@@ -141,7 +143,7 @@
         getSession: worker => registry.getSession(worker),
         onChanged: () => planPass(PASS_DELAY_MS),
     });
-    const adviceDesk = advice.createAdviceRequester({
+    const adviceRequester = advice.createAdviceRequester({
         adviser: options.adviser,
         clock: time,
         log,
@@ -157,36 +159,36 @@
             clock: time,
             log,
             leadership,
-            pollLimiter: pollLimiter,
+            pollLimiter,
             maxLeaseMs: options.maxLeaseMs,
             isBusy: () => worker.tasks.size > 0 || worker.unknownRunCount > 0,
             getPollWaitMs: () => taskWatchdog.getPollWaitMs(worker, pollWaitMs),
-            onPollResult: async lists => {
-                for (const end of lists.ended) {
-                    learn(end);
+            onPollResult: async pollResult => {
+                for (const end of pollResult.ended) {
+                    recordRunTime(end);
                 }
                 reconcile.reconcile(
                     { jobRegistry, clock: time, log, stopUnknownRun: orders.stopUnknownRun },
                     worker,
-                    lists,
+                    pollResult,
                 );
-                slowness.handleSlowWorker(worker, {
+                slowWorkers.handleSlowWorker(worker, {
                     now: time.now(),
                     jobRegistry,
                     log,
-                    disabledMechanisms: leftOut,
+                    disabledMechanisms,
                     getUrgency: step => units.getUrgency(step, createView(new Set())),
                 });
-                bestEffortPacing.paceFillers(worker, orders.pace);
+                bestEffortPacing.paceBestEffortTasks(worker, orders.pace);
                 planPass(PASS_DELAY_MS);
                 await writer.flush();
             },
             onLost: how => registry.onLost(worker, how),
             onNextIncarnation: (next, lists) => registry.onNextIncarnation(worker, next, lists),
-            onReachability: heard => {
+            onReachability: reachable => {
                 const before = worker.reachable;
-                entries.setReachable(worker, heard, time.now());
-                if (heard && !before) {
+                entries.setReachable(worker, reachable, time.now());
+                if (reachable && !before) {
                     jobRegistry.crashAttribution.recordWorkerSeen(worker.info);
                     planPass(PASS_DELAY_MS);
                 }
@@ -194,7 +196,7 @@
             onDisconnected: () => worker.disconnectedAt ??= time.now(),
             onFenced: () => options.onSuperseded(`worker ${worker.id} has seen a higher fencing token`),
         });
-    const learn = (end: port.TaskEnd) => {
+    const recordRunTime = (end: port.TaskEnd) => {
         const task = jobRegistry.getTask(end.task);
         if (end.how === "done" && task && task.run === end.run && task.saved === "" && task.runningSince > 0) {
             predictor.learn(
@@ -205,7 +207,7 @@
         }
     };
 
-    const leaveOutUnknown = knownServices.createServiceFilter({
+    const filterKnownServices = knownServices.createServiceFilter({
         catalog: options.catalog,
         log,
         meter,
@@ -217,7 +219,7 @@
         leadership,
         maxLeaseMs: options.maxLeaseMs,
         jobRegistry,
-        filterKnownServices: leaveOutUnknown,
+        filterKnownServices,
         openSession,
         closeRun: orders.closeRun,
         onChanged: () => planPass(PASS_DELAY_MS),
@@ -237,21 +239,21 @@
         }
     };
 
-    const learned = leftOut.has("prediction") ? decisions.createPredictor() : predictor;
-    const expect: units.RunTimeEstimator = step =>
+    const learned = disabledMechanisms.has("prediction") ? decisions.createPredictor() : predictor;
+    const estimateRunMs: units.RunTimeEstimator = step =>
         learned.predict(step.occurrence.job.queue.name, step.spec.estimateMs);
     const createView = (guaranteed: ReadonlySet<entries.JobEntry>): units.UnitsOptions => ({
         now: time.now(),
         wallNow: time.wallTime(),
-        estimateRunMs: expect,
+        estimateRunMs,
         policy: options.policy,
         isGuaranteed: job => guaranteed.has(job),
     });
 
-    const { isPlaceable, mayStart } = placeable.createPlacementFilter({
+    const { isPlaceable, mayStart } = placementFilter.createPlacementFilter({
         catalog: options.catalog,
         capacityMs: options.capacityMs,
-        disabledMechanisms: leftOut,
+        disabledMechanisms,
         hasSession: worker => registry.getSession(worker) !== undefined,
     });
 
@@ -268,21 +270,21 @@
         const view = createView(guarantees.findGuaranteedJobs(jobRegistry.active, options.catalog.getAccount));
         taskWatchdog.stopUnviableTasks([...registry.workers.values()], {
             now,
-            expect,
+            expect: estimateRunMs,
             jobRegistry,
             log,
-            disabledMechanisms: leftOut,
+            disabledMechanisms,
         });
         const waiting = units.collectWaitingUnits(jobRegistry.active, view);
         if (waiting.length === 0) {
             return;
         }
         const usable = [...registry.workers.values()].filter(worker => isPlaceable(worker, now));
-        adviceDesk.requestAdvice(waiting, usable);
+        adviceRequester.requestAdvice(waiting, usable);
         let groups: ReadonlyMap<string, units.GroupOfTasks> = new Map();
         const plan = decisions.plan({
             now,
-            disabledMechanisms: leftOut,
+            disabledMechanisms,
             workers: usable.map(units.toPlaceableWorker),
             units: waiting.map(item => item.unit),
             getRunningGroups: () => {
@@ -293,7 +295,7 @@
         execution.executePlan({
             jobRegistry,
             orders,
-            contact: reachability,
+            reachability,
             log,
             meter,
             getWorker: registry.getWorker,
@@ -321,12 +323,12 @@
         });
     };
     const logSummaries = async () => {
-        let told = "{}";
+        let lastLogged = "{}";
         while (!signal.aborted) {
             await time.sleep(SUMMARY_EVERY_MS, signal);
             const coreSeconds = thrownAway.getTotals();
-            if (JSON.stringify(coreSeconds) !== told) {
-                told = JSON.stringify(coreSeconds);
+            if (JSON.stringify(coreSeconds) !== lastLogged) {
+                lastLogged = JSON.stringify(coreSeconds);
                 log.info("workThrownAway", { token: leadership.token, coreSeconds });
             }
             logStalledSteps();
--- a/src/leader/thrownAway.ts
+++ b/src/leader/thrownAway.ts
@@ -7,6 +7,7 @@
 import * as decisions from "../decisions/index";
 import * as entries from "./entries";
 
+/** Totals of thrown away work, in core-seconds. */
 export interface ThrownAwayWork {
     /** Adds a run that ended without success; `cause` is why it was stopped, or how it ended. Returns core-seconds. */
     addRun(task: entries.TaskEntry, cause: string, now: number): number;
@@ -16,6 +17,7 @@
     getTotals(): Readonly<Record<string, number>>;
 }
 
+/** Cause under which the waits of gang members are counted. */
 export const GANG_WAIT_CAUSE = "gangWait";
 
 export function createThrownAwayWork(): ThrownAwayWork {
--- a/src/leader/units.ts
+++ b/src/leader/units.ts
@@ -13,6 +13,7 @@
     readonly tasks: readonly entries.TaskEntry[];
 }
 
+/** A group of placed tasks that are stopped together, and its tasks. */
 export interface GroupOfTasks {
     readonly group: decisions.RunningGroup;
     readonly tasks: readonly entries.TaskEntry[];
@@ -30,6 +31,7 @@
     isGuaranteed(job: entries.JobEntry): boolean;
 }
 
+/** Collects the units that can be placed now, in the order of the policy. */
 export function collectWaitingUnits(
     active: Iterable<entries.JobEntry>,
     options: UnitsOptions,
@@ -140,6 +142,7 @@
     return valid;
 }
 
+/** Returns the urgency by which the policy orders the step. */
 export function getUrgency(step: entries.StepEntry, options: UnitsOptions): decisions.Urgency {
     const { occurrence } = step;
     const { job } = occurrence;
@@ -275,6 +278,7 @@
 /** A stop saves a checkpoint, so a task with checkpoints loses almost nothing and is stopped before others. */
 const RESTORE_LOSS_MS = 100;
 
+/** Converts a worker to the input of the placement decisions. */
 export function toPlaceableWorker(worker: entries.WorkerEntry): decisions.PlaceableWorker {
     const freeing = decisions.copyResources(work.NO_RESOURCES);
     let serving = 0;
--- a/src/leader/upkeep.ts
+++ b/src/leader/upkeep.ts
@@ -38,7 +38,10 @@
     readonly stages: stagesOfWave.MachineStages;
 }
 
-/** Interval of the steps of a wave. Each lists the machines, and the platform accepts some 60 list calls a second in total. */
+/**
+ * Interval of the steps of a wave. Each lists the machines, and the platform accepts some 60 list calls a second in
+ * total.
+ */
 const STEP_MS = 700;
 const CALL_TIMEOUT_MS = 2_000;
 /**
@@ -50,6 +53,7 @@
 /** Share of a machine's time in the wave after which its tasks are stopped. */
 const PATIENCE_SHARE = 0.6;
 
+/** Performs the waves until the term ends; does not wait. */
 export function runUpkeep(options: UpkeepOptions): void {
     void follow(options);
 }
--- a/src/leader/upkeepStages.ts
+++ b/src/leader/upkeepStages.ts
@@ -1,6 +1,7 @@
 /** The stage of each machine of a wave, updated from the platform's list of machines. */
 import type * as machines from "./machines";
 
+/** Stage of one machine. */
 export type MachineStage =
     | { readonly kind: "pending"; }
     /** Drained: gets no new tasks, and is ordered down when no task is left. */
@@ -11,7 +12,9 @@
     /** Not listed by the platform, or not part of this wave. */
     | { readonly kind: "gone"; };
 
+/** Stages by the id of the machine. */
 export type MachineStages = Map<string, MachineStage>;
+/** Listed machines by id. */
 export type PresentMachines = ReadonlyMap<string, machines.Machine>;
 
 /**
@@ -76,6 +79,7 @@
     return taken;
 }
 
+/** Returns whether every machine of the wave is done or gone. */
 export function isComplete(stages: ReadonlyMap<string, MachineStage>): boolean {
     return [...stages.values()].every(stage => stage.kind === "done" || stage.kind === "gone");
 }
--- a/src/leader/waitingCounts.ts
+++ b/src/leader/waitingCounts.ts
@@ -6,6 +6,7 @@
  * end a second after they began, while the store answers.
  */
 
+/** Numbers of waiting jobs by queue, possibly truncated. */
 export interface WaitingCounts {
     readonly counts: Readonly<Record<string, number>>;
     /** Whether all queues with waiting jobs are included. */
--- a/src/liveness/processWatch.ts
+++ b/src/liveness/processWatch.ts
@@ -23,12 +23,14 @@
 const RETRY_MS = 300;
 const CONNECT_TIMEOUT_MS = 1_000;
 
+/** A running watch. */
 export interface ProcessWatch {
     /** Milliseconds since the latest heartbeat; `undefined` if none has been received. */
     getHeartbeatAgeMs(): number | undefined;
     end(): void;
 }
 
+/** Watches a process until it has exited or the watch is ended. */
 export function watchProcess(options: ProcessWatchOptions): ProcessWatch {
     const separator = options.address.lastIndexOf(":");
     const host = options.address.slice(0, separator);
--- a/src/liveness/server.ts
+++ b/src/liveness/server.ts
@@ -9,6 +9,7 @@
     isLeading(): boolean;
 }
 
+/** Server to which other instances connect to watch this process. */
 export interface LivenessServer {
     /** Listens on `IP:PORT`, where port 0 stands for any free port; returns the port. */
     listen(address: string): Promise<number>;
