--- a/src/leader/execution.ts
+++ b/src/leader/execution.ts
@@ -32,10 +32,10 @@
         return;
     }
     const tasksByUnit = new Map(pass.waiting.map(item => [item.unit.key, item.tasks]));
-    const isSure = ({ unit, workerIds }: decisions.PlannedStart) =>
+    const mayPlace = ({ unit, workerIds }: decisions.PlannedStart) =>
         options.reachability.mayPlace(tasksByUnit.get(unit.key)!, workerIds.map(options.getWorker));
     const placed = pass.plan.starts
-        .filter(isSure)
+        .filter(mayPlace)
         .flatMap(start => placeUnit(options, start, tasksByUnit.get(start.unit.key)!));
     void options.flush().then(() => options.orders.start(placed));
 }
--- a/src/leader/heldLease.ts
+++ b/src/leader/heldLease.ts
@@ -2,7 +2,7 @@
 import * as events from "node:events";
 import type * as clock from "../clock/index";
 import type * as rows from "../rows/index";
-import * as renewalsOfTerm from "./renewals";
+import * as leaseRenewals from "./renewals";
 
 /** The rights of a term's leader. */
 export interface Leadership {
@@ -11,7 +11,7 @@
     /** Row of the fencing token. Every write of the leader is conditional on its version. */
     readonly guard: rows.RowCondition;
     /** Performs a write of the leader. None succeeds once another leader has taken over. */
-    transact: renewalsOfTerm.Renewals["transact"];
+    transact: leaseRenewals.Renewals["transact"];
     /** Whether orders may be issued now. */
     mayIssueOrders(): boolean;
     /** Whether leases of running tasks may be extended now; `EXTENSION_GRACE_MS` longer than orders may be issued. */
@@ -24,10 +24,10 @@
 export interface HeldLease {
     readonly leadership: Leadership;
     readonly controller: AbortController;
-    readonly renewals: renewalsOfTerm.Renewals;
+    readonly renewals: leaseRenewals.Renewals;
 }
 
-export interface HeldLeaseOptions extends Omit<renewalsOfTerm.RenewalsOptions, "clock"> {
+export interface HeldLeaseOptions extends Omit<leaseRenewals.RenewalsOptions, "clock"> {
     readonly token: number;
     readonly predecessorsInactiveAt: number;
 }
@@ -43,7 +43,7 @@
     const controller = new AbortController();
     // Each task that is being stopped adds a listener.
     events.setMaxListeners(0, controller.signal);
-    const renewals = renewalsOfTerm.createRenewals({ ...options, clock: time });
+    const renewals = leaseRenewals.createRenewals({ ...options, clock: time });
     return {
         controller,
         renewals,
--- a/src/leader/placementFilter.ts
+++ b/src/leader/placementFilter.ts
@@ -13,7 +13,7 @@
 }
 
 /** Time from a placement until its start order reaches the worker. */
-const ORDER_WAY_MS = 600;
+const ORDER_DELIVERY_MS = 600;
 
 /** Decides which workers are eligible for placements and starts. */
 export interface PlacementFilter {
@@ -28,19 +28,19 @@
         options.catalog.get()?.services.some(service => service.name === info.service && service.refusesOverload)
             ?? false;
     /** Whether the last report is recent: the capacity may have shrunk while the directory was unreachable. */
-    const isReported = (worker: entries.WorkerEntry, now: number, lastsMs: number) =>
-        worker.reportedAt !== undefined && now - worker.reportedAt <= lastsMs;
+    const isReportRecent = (worker: entries.WorkerEntry, now: number, maxAgeMs: number) =>
+        worker.reportedAt !== undefined && now - worker.reportedAt <= maxAgeMs;
     return {
         isPlaceable: (worker, now) =>
             worker.listed && worker.reachable && !worker.info.draining && !worker.reserved
             && worker.unknownRunCount === 0
             && worker.quarantinedUntil <= now && options.hasSession(worker)
-            && (isReported(worker, now, options.capacityMs - ORDER_WAY_MS) || refusesOverload(worker))
+            && (isReportRecent(worker, now, options.capacityMs - ORDER_DELIVERY_MS) || refusesOverload(worker))
             && (options.disabledMechanisms.has("isolation") || !suspects.hasUnsettledSuspect(worker)),
         mayStart: (worker, now) =>
             !worker.info.draining
             && (refusesOverload(worker)
                 || (decisions.fitsWithin(worker.used, worker.info.capacity)
-                    && isReported(worker, now, options.capacityMs))),
+                    && isReportRecent(worker, now, options.capacityMs))),
     };
 }
--- a/src/leader/renewals.ts
+++ b/src/leader/renewals.ts
@@ -12,7 +12,7 @@
 import type * as observe from "../observe/index";
 import type * as rows from "../rows/index";
 
-/** Duration of the lease at a store that answers in normal time. */
+/** Duration of the lease at a store that answers in normal time: unchanged for this long, it may be taken over. */
 export const LEASE_MS = 1_600;
 /** The holder stops this much earlier, to allow for a clock drift of 2% and the delivery of its last order. */
 const LEASE_MARGIN_MS = 250;
--- a/src/leader/retention.ts
+++ b/src/leader/retention.ts
@@ -22,25 +22,25 @@
     readonly retentionMs: number;
 }
 
-const CHECK_EVERY_MS = 10_000;
+const CHECK_INTERVAL_MS = 10_000;
 /** Maximum jobs removed per check. 3,500 jobs a day are one in 25 s, so any backlog is caught up with. */
-const JOBS_PER_CHECK = 20;
+const MAX_JOBS_PER_CHECK = 20;
 const CALL_TIMEOUT_MS = 2_000;
 
 /** Removes the rows of old jobs periodically until the term ends. */
 export async function runRetention(options: RetentionOptions): Promise<void> {
     const { signal } = options.leadership;
     while (!signal.aborted) {
-        await options.clock.sleep(CHECK_EVERY_MS, signal);
+        await options.clock.sleep(CHECK_INTERVAL_MS, signal);
         if (signal.aborted || !options.leadership.mayIssueOrders()) {
             continue;
         }
         const before = options.clock.wallTime() - options.retentionMs;
-        const old = [...options.jobRegistry.jobs.values()]
+        const expiredJobs = [...options.jobRegistry.jobs.values()]
             .filter(job => job.endedAt > 0 && job.endedAt < before && !hasPlacedTask(job))
-            .slice(0, JOBS_PER_CHECK);
+            .slice(0, MAX_JOBS_PER_CHECK);
         let removed = 0;
-        for (const job of old) {
+        for (const job of expiredJobs) {
             if (await removeRows(options, job)) {
                 options.jobRegistry.forgetJob(job);
                 removed++;
--- a/src/leader/term.ts
+++ b/src/leader/term.ts
@@ -17,7 +17,7 @@
 import * as jobRegistries from "./jobRegistry";
 import * as knownServices from "./knownServices";
 import type * as machines from "./machines";
-import * as ordersOfTerm from "./orders";
+import * as workerOrders from "./orders";
 import * as passTimer from "./passTimer";
 import * as placementFilter from "./placementFilter";
 import * as progressWriter from "./progressWriter";
@@ -74,7 +74,7 @@
 /** Short compared with the seconds after which an unlisted worker is removed. */
 const DIRECTORY_CHECK_MS = 600;
 /** Interval of the log lines on thrown away work and on stalled steps. */
-const SUMMARY_EVERY_MS = 2_000;
+const SUMMARY_INTERVAL_MS = 2_000;
 /** Longest time for which a worker holds a poll open. */
 const MAX_POLL_WAIT_MS = 2_000;
 /**
@@ -125,7 +125,7 @@
             onChanged: () => planPass(PASS_DELAY_MS),
         },
     });
-    const orders = ordersOfTerm.createOrders({
+    const orders = workerOrders.createOrders({
         jobRegistry,
         clock: time,
         log,
@@ -239,9 +239,9 @@
         }
     };
 
-    const learned = disabledMechanisms.has("prediction") ? decisions.createPredictor() : predictor;
+    const activePredictor = disabledMechanisms.has("prediction") ? decisions.createPredictor() : predictor;
     const estimateRunMs: units.RunTimeEstimator = step =>
-        learned.predict(step.occurrence.job.queue.name, step.spec.estimateMs);
+        activePredictor.predict(step.occurrence.job.queue.name, step.spec.estimateMs);
     const createView = (guaranteed: ReadonlySet<entries.JobEntry>): units.UnitsOptions => ({
         now: time.now(),
         wallNow: time.wallTime(),
@@ -325,7 +325,7 @@
     const logSummaries = async () => {
         let lastLogged = "{}";
         while (!signal.aborted) {
-            await time.sleep(SUMMARY_EVERY_MS, signal);
+            await time.sleep(SUMMARY_INTERVAL_MS, signal);
             const coreSeconds = thrownAway.getTotals();
             if (JSON.stringify(coreSeconds) !== lastLogged) {
                 lastLogged = JSON.stringify(coreSeconds);
@@ -335,7 +335,7 @@
         }
     };
 
-    const run = async () => {
+    const runTerm = async () => {
         const version = await takeover.loadStoredState({
             store: options.store,
             clock: time,
@@ -398,7 +398,7 @@
         endGauges();
         registry.closeSessions();
     });
-    void run();
+    void runTerm();
 
     return {
         getWaitingCounts: () => {
--- a/src/leader/units.ts
+++ b/src/leader/units.ts
@@ -72,15 +72,15 @@
     options: UnitsOptions,
 ): decisions.WaitingUnit {
     const { spec } = step;
-    const first = tasks[0]!;
+    const firstTask = tasks[0]!;
     const { job } = step.occurrence;
-    const waitedMs = options.now - Math.max(step.readySince ?? options.now, first.waitingSince);
+    const waitedMs = options.now - Math.max(step.readySince ?? options.now, firstTask.waitingSince);
     const stepName = getStepName(step);
-    const suspect = waitedMs < ISOLATION_PATIENCE_MS && !options.policy.disabledMechanisms.has("isolation")
+    const mayCrashWorker = waitedMs < ISOLATION_PATIENCE_MS && !options.policy.disabledMechanisms.has("isolation")
         && tasks.some(task => crashHistory.isSuspect(task.crashes));
     return {
-        key: first.name,
-        equivalenceClass: first.failures > 0 || suspect ? first.name : stepName,
+        key: firstTask.name,
+        equivalenceClass: firstTask.failures > 0 || mayCrashWorker ? firstTask.name : stepName,
         step: stepName,
         service: job.queue.service,
         needs: step.needs,
@@ -94,9 +94,9 @@
         tier: urgency.tier,
         latencySensitive: spec.targetMs > 0,
         bestEffort: spec.fills,
-        mayCrashWorker: suspect,
-        excludedWorkerIds: waitedMs < OTHER_WORKER_PATIENCE_MS ? unionFailedOn(tasks) : NO_WORKERS,
-        allowedWorkerIds: job.queue.advice ? getTicketed(step, options.now) : undefined,
+        mayCrashWorker,
+        excludedWorkerIds: waitedMs < OTHER_WORKER_PATIENCE_MS ? getFailedWorkerIds(tasks) : NO_WORKERS,
+        allowedWorkerIds: job.queue.advice ? getTicketedWorkerIds(step, options.now) : undefined,
         waitedMs,
         expectedDurationMs: options.estimateRunMs(step),
     };
@@ -109,7 +109,7 @@
 const OTHER_WORKER_PATIENCE_MS = 2_000;
 const NO_WORKERS: ReadonlySet<string> = new Set();
 
-function unionFailedOn(tasks: readonly entries.TaskEntry[]): ReadonlySet<string> {
+function getFailedWorkerIds(tasks: readonly entries.TaskEntry[]): ReadonlySet<string> {
     if (tasks.length === 1) {
         return tasks[0]!.failedOn;
     }
@@ -132,7 +132,7 @@
     return counts;
 }
 
-function getTicketed(step: entries.StepEntry, now: number): ReadonlySet<string> {
+function getTicketedWorkerIds(step: entries.StepEntry, now: number): ReadonlySet<string> {
     const valid = new Set<string>();
     for (const [workerId, ticket] of step.tickets) {
         if (ticket.until > now) {
@@ -148,15 +148,15 @@
     const { job } = occurrence;
     const since = occurrence.dueAt ?? job.submission.acceptedAt;
     return {
-        tier: getClaim(step, options),
+        tier: getPreemptionTier(step, options),
         priority: job.queue.priority,
         ageMs: options.wallNow - since,
         objectiveMs: getExpectedTimes(job, options.estimateRunMs).objectiveMs,
-        remainingMs: getChainFromMs(step, options.estimateRunMs),
+        remainingMs: getRemainingPathMs(step, options.estimateRunMs),
     };
 }
 
-function getClaim(step: entries.StepEntry, options: UnitsOptions): decisions.Claim {
+function getPreemptionTier(step: entries.StepEntry, options: UnitsOptions): decisions.Claim {
     const { job } = step.occurrence;
     if (options.isGuaranteed(job)) {
         return decisions.Claim.Guaranteed;
@@ -168,25 +168,25 @@
 }
 
 /** Expected times of an occurrence of the job. The objective counts from the job's acceptance or from the due time. */
-export function getExpectedTimes(job: entries.JobEntry, expect: RunTimeEstimator): outcomes.ExpectedTimes {
+export function getExpectedTimes(job: entries.JobEntry, estimateRunMs: RunTimeEstimator): outcomes.ExpectedTimes {
     const [occurrence] = job.occurrences.values();
-    const chainMs = occurrence ? getChainMs(occurrence, expect) : 0;
-    return { criticalPathMs: chainMs, objectiveMs: job.queue.stretch * chainMs + job.queue.objectiveMs };
+    const criticalPathMs = occurrence ? getCriticalPathMs(occurrence, estimateRunMs) : 0;
+    return { criticalPathMs, objectiveMs: job.queue.stretch * criticalPathMs + job.queue.objectiveMs };
 }
 
 /** Returns the length of an occurrence's critical path in milliseconds. */
-function getChainMs(occurrence: entries.OccurrenceEntry, expect: RunTimeEstimator): number {
+function getCriticalPathMs(occurrence: entries.OccurrenceEntry, estimateRunMs: RunTimeEstimator): number {
     return occurrence.steps
         .filter(step => step.spec.after.length === 0)
-        .reduce((longest, step) => Math.max(longest, getChainFromMs(step, expect)), 0);
+        .reduce((longest, step) => Math.max(longest, getRemainingPathMs(step, estimateRunMs)), 0);
 }
 
 /** Returns the length of the critical path from the step's start to the end of the occurrence, in milliseconds. */
-function getChainFromMs(step: entries.StepEntry, expect: RunTimeEstimator): number {
+function getRemainingPathMs(step: entries.StepEntry, estimateRunMs: RunTimeEstimator): number {
     const longestAfter = step.occurrence.steps
         .filter(next => next.spec.after.includes(step.number) && next.number > step.number)
-        .reduce((longest, next) => Math.max(longest, getChainFromMs(next, expect)), 0);
-    return expect(step) + longestAfter;
+        .reduce((longest, next) => Math.max(longest, getRemainingPathMs(next, estimateRunMs)), 0);
+    return estimateRunMs(step) + longestAfter;
 }
 
 /** Collects the placed tasks, grouped by those that are stopped together. */
@@ -231,7 +231,7 @@
     const { elapsedMs, unsavedMs, lossCoreSeconds } = estimateStopLoss(tasks, options.now);
     return {
         key,
-        tier: getClaim(step, options),
+        tier: getPreemptionTier(step, options),
         members: tasks.map(task => ({ workerId: task.worker!.id, needs: step.needs })),
         lossCoreSeconds,
         costCoreSeconds: options.policy.getStopCost({
@@ -256,7 +256,7 @@
     const { spec } = tasks[0]!.step;
     const since = Math.min(...tasks.map(task => task.phase === "running" ? task.runningSince : now));
     const elapsedMs = now - since;
-    const unsavedMs = spec.checkpoints ? Math.min(elapsedMs, RESTORE_LOSS_MS) : elapsedMs;
+    const unsavedMs = spec.checkpoints ? Math.min(elapsedMs, RESUME_LOSS_MS) : elapsedMs;
     const lossCoreSeconds = tasks.length * decisions.getCoreEquivalents(spec.needs) * unsavedMs / 1_000;
     return { elapsedMs, unsavedMs, lossCoreSeconds };
 }
@@ -276,7 +276,7 @@
 }
 
 /** A stop saves a checkpoint, so a task with checkpoints loses almost nothing and is stopped before others. */
-const RESTORE_LOSS_MS = 100;
+const RESUME_LOSS_MS = 100;
 
 /** Converts a worker to the input of the placement decisions. */
 export function toPlaceableWorker(worker: entries.WorkerEntry): decisions.PlaceableWorker {
--- a/src/leader/upkeep.ts
+++ b/src/leader/upkeep.ts
@@ -12,7 +12,7 @@
 import type * as jobRegistries from "./jobRegistry";
 import type * as machines from "./machines";
 import * as upkeepRows from "./upkeepRows";
-import * as stagesOfWave from "./upkeepStages";
+import * as upkeepStages from "./upkeepStages";
 
 export interface UpkeepOptions {
     readonly wavePort: machines.WavePort;
@@ -35,7 +35,7 @@
     readonly wave: machines.Wave;
     /** Monotonic time at which this instance first saw the wave. */
     readonly knownAt: number;
-    readonly stages: stagesOfWave.MachineStages;
+    readonly stages: upkeepStages.MachineStages;
 }
 
 /**
@@ -49,20 +49,20 @@
  * machine to be further apart than its lease of 3 s, and the predecessor may have issued one just before its term
  * ended. A stronger instance that takes over from a healthy one would otherwise repeat that order within milliseconds.
  */
-const HANDOVER_MS = 3_500;
+const FIRST_ORDER_DELAY_MS = 3_500;
 /** Share of a machine's time in the wave after which its tasks are stopped. */
 const PATIENCE_SHARE = 0.6;
 
 /** Performs the waves until the term ends; does not wait. */
 export function runUpkeep(options: UpkeepOptions): void {
-    void follow(options);
+    void runWaves(options);
 }
 
 /** Runs waves concurrently, so that one that waits for a machine does not delay the next. */
-async function follow(options: UpkeepOptions): Promise<void> {
+async function runWaves(options: UpkeepOptions): Promise<void> {
     const { signal } = options.leadership;
     const running = new Set<number>();
-    await options.clock.sleep(HANDOVER_MS, signal);
+    await options.clock.sleep(FIRST_ORDER_DELAY_MS, signal);
     while (!signal.aborted) {
         for (const open of options.wavePort.getIncomplete()) {
             if (!running.has(open.wave.number)) {
@@ -76,7 +76,7 @@
 
 async function runWave(options: UpkeepOptions, wave: machines.Wave, knownAt: number): Promise<void> {
     const { clock: time, log, leadership } = options;
-    const stages = await upkeepRows.readStages(toRows(options), wave.number, wave.machines, time.now());
+    const stages = await upkeepRows.readStages(getRowsOptions(options), wave.number, wave.machines, time.now());
     if (!stages) {
         // Without the stored orders, more machines than allowed might go down. The next round retries.
         log.warn("waveProgressNotRead", { wave: wave.number });
@@ -89,12 +89,12 @@
     while (!leadership.signal.aborted) {
         const listed = await options.service.list(CALL_TIMEOUT_MS);
         if (listed.kind === "machines" && leadership.mayIssueOrders()) {
-            await step(options, current, new Map(listed.machines.map(machine => [machine.id, machine])));
+            await advanceWave(options, current, new Map(listed.machines.map(machine => [machine.id, machine])));
         }
         else if (listed.kind === "unavailable") {
             log.info("machinesUnavailable", { wave: wave.number, why: listed.message });
         }
-        const isOver = stagesOfWave.isComplete(stages);
+        const isOver = upkeepStages.isComplete(stages);
         if (isOver && await options.wavePort.reportState(wave.number, "completed", CALL_TIMEOUT_MS)) {
             log.info("waveCompleted", { wave: wave.number, afterMs: Math.round(time.now() - knownAt) });
             return;
@@ -103,32 +103,32 @@
     }
 }
 
-async function step(
+async function advanceWave(
     options: UpkeepOptions,
     current: RunningWave,
-    present: stagesOfWave.PresentMachines,
+    present: upkeepStages.PresentMachines,
 ): Promise<void> {
-    stagesOfWave.updateStages(current.stages, present, options.clock.now(), options.upkeepMs + 2 * STEP_MS);
+    upkeepStages.updateStages(current.stages, present, options.clock.now(), options.upkeepMs + 2 * STEP_MS);
     startDraining(options, current, present);
     reserveWorkers(options, current.stages);
     for (const [machineId, stage] of current.stages) {
-        const mayOrder = stage.kind === "emptying" || (stage.kind === "ordered" && stage.confirmedAt === undefined);
-        if (mayOrder && present.get(machineId)?.up && isEmpty(options, current, stage)) {
+        const isOrderable = stage.kind === "draining" || (stage.kind === "ordered" && stage.confirmedAt === undefined);
+        if (isOrderable && present.get(machineId)?.up && isDrained(options, current, stage)) {
             await orderDown(options, current, machineId, stage.workerName);
         }
     }
 }
 
-function startDraining(options: UpkeepOptions, current: RunningWave, present: stagesOfWave.PresentMachines): void {
+function startDraining(options: UpkeepOptions, current: RunningWave, present: upkeepStages.PresentMachines): void {
     const { stages, wave } = current;
-    const room = Math.max(0, wave.maxCount - stagesOfWave.countOutOfService(stages, present));
+    const freeSlots = Math.max(0, wave.maxCount - upkeepStages.countOutOfService(stages, present));
     const candidates = [...stages]
         .filter(([id, stage]) => stage.kind === "pending" && present.get(id)?.up)
         .map(([id]) => ({ id, workerName: present.get(id)!.workerName }))
         .map(({ id, workerName }) => ({ id, workerName, tasks: options.getWorker(workerName)?.tasks.size ?? 0 }))
         .sort((a, b) => a.tasks - b.tasks);
-    for (const { id, workerName, tasks } of candidates.slice(0, room)) {
-        stages.set(id, { kind: "emptying", workerName, since: options.clock.now() });
+    for (const { id, workerName, tasks } of candidates.slice(0, freeSlots)) {
+        stages.set(id, { kind: "draining", workerName, since: options.clock.now() });
         options.log.info("machineEmptying", {
             wave: wave.number,
             machine: id,
@@ -143,9 +143,9 @@
  * Excludes workers that go down from placement. Repeated in each step, since the directory may drop and relist a
  * worker.
  */
-function reserveWorkers(options: UpkeepOptions, stages: ReadonlyMap<string, stagesOfWave.MachineStage>): void {
+function reserveWorkers(options: UpkeepOptions, stages: ReadonlyMap<string, upkeepStages.MachineStage>): void {
     for (const stage of stages.values()) {
-        const worker = stage.kind === "emptying" || stage.kind === "ordered"
+        const worker = stage.kind === "draining" || stage.kind === "ordered"
             ? options.getWorker(stage.workerName)
             : undefined;
         if (worker) {
@@ -156,17 +156,17 @@
 
 /** Returns how long tasks may continue on a machine that is being drained, so that the wave still ends in time. */
 function getPatienceMs(options: UpkeepOptions, { wave, knownAt, stages }: RunningWave): number {
-    const left = [...stages.values()].filter(stage => stage.kind === "pending" || stage.kind === "emptying").length;
+    const left = [...stages.values()].filter(stage => stage.kind === "pending" || stage.kind === "draining").length;
     const rounds = Math.max(1, Math.ceil(left / wave.maxCount));
     const leftMs = wave.withinMs - (options.clock.now() - knownAt);
     return Math.max(0, (leftMs / rounds - options.upkeepMs - 2 * STEP_MS) * PATIENCE_SHARE);
 }
 
 /** Returns whether no task is on the machine's worker; if not, stops those that must not continue. */
-function isEmpty(
+function isDrained(
     options: UpkeepOptions,
     current: RunningWave,
-    stage: Extract<stagesOfWave.MachineStage, { kind: "emptying" | "ordered"; }>,
+    stage: Extract<upkeepStages.MachineStage, { kind: "draining" | "ordered"; }>,
 ): boolean {
     const worker = options.getWorker(stage.workerName);
     if (!worker || worker.tasks.size === 0) {
@@ -174,7 +174,7 @@
     }
     const isPatienceOver = stage.kind === "ordered"
         || options.clock.now() - stage.since >= getPatienceMs(options, current);
-    stopWork(options, worker, isPatienceOver);
+    stopTasks(options, worker, isPatienceOver);
     return false;
 }
 
@@ -186,7 +186,7 @@
 ): Promise<void> {
     const before = stages.get(machineId)!;
     stages.set(machineId, { kind: "ordered", workerName, confirmedAt: undefined });
-    if (!await upkeepRows.writeStages(toRows(options), wave.number, stages)) {
+    if (!await upkeepRows.writeStages(getRowsOptions(options), wave.number, stages)) {
         options.log.warn("waveProgressNotWritten", { wave: wave.number, machine: machineId });
         stages.set(machineId, before);
         return;
@@ -204,7 +204,7 @@
     switch (answer.kind) {
         case "accepted":
             stages.set(machineId, { kind: "ordered", workerName, confirmedAt: options.clock.now() });
-            await upkeepRows.writeStages(toRows(options), wave.number, stages);
+            await upkeepRows.writeStages(getRowsOptions(options), wave.number, stages);
             break;
         case "busy":
         case "unknown":
@@ -225,7 +225,7 @@
 }
 
 /** Stops lasting tasks first, as many as their step may miss, since they never end by themselves. */
-function stopWork(options: UpkeepOptions, worker: entries.WorkerEntry, patienceOver: boolean): void {
+function stopTasks(options: UpkeepOptions, worker: entries.WorkerEntry, patienceOver: boolean): void {
     for (const task of worker.tasks) {
         const { spec } = task.step;
         if (spec.lasting ? mayMissOneMore(task.step) : patienceOver) {
@@ -239,6 +239,6 @@
     return step.spec.mayMiss === 0 || entries.countUnavailable(step) < step.spec.mayMiss;
 }
 
-function toRows(options: UpkeepOptions): upkeepRows.UpkeepRowsOptions {
+function getRowsOptions(options: UpkeepOptions): upkeepRows.UpkeepRowsOptions {
     return { store: options.store, leadership: options.leadership, timeoutMs: CALL_TIMEOUT_MS };
 }
--- a/src/leader/upkeepRows.ts
+++ b/src/leader/upkeepRows.ts
@@ -7,7 +7,7 @@
 import * as rows from "../rows/index";
 import * as work from "../work/index";
 import type * as heldLease from "./heldLease";
-import type * as stagesOfWave from "./upkeepStages";
+import type * as upkeepStages from "./upkeepStages";
 
 export interface UpkeepRowsOptions {
     readonly store: rows.RowStore;
@@ -25,7 +25,7 @@
  */
 const MACHINES_PER_ROW = 200;
 /** Stored as the worker of a machine whose upkeep is done: any worker on the machine is a later incarnation. */
-const EARLIER_LIFE = "";
+const EARLIER_INCARNATION = "";
 
 /** Reads the stages as the last leader stored them; `undefined` if they cannot be read now. */
 export async function readStages(
@@ -33,7 +33,7 @@
     wave: number,
     machineIds: readonly string[],
     now: number,
-): Promise<stagesOfWave.MachineStages | undefined> {
+): Promise<upkeepStages.MachineStages | undefined> {
     const result = await rows.readAll(options.store, getRange(wave), options.timeoutMs, rows.MAX_ANSWER_MS);
     if (result.kind !== "read") {
         return undefined;
@@ -42,7 +42,7 @@
         {},
         ...result.rows.map(row => JSON.parse(row.value) as OrderedMachines),
     );
-    return new Map(machineIds.map((id): [string, stagesOfWave.MachineStage] => {
+    return new Map(machineIds.map((id): [string, upkeepStages.MachineStage] => {
         const stored = ordered[id];
         if (!stored) {
             return [id, { kind: "pending" }];
@@ -58,27 +58,27 @@
 export async function writeStages(
     options: UpkeepRowsOptions,
     wave: number,
-    stages: ReadonlyMap<string, stagesOfWave.MachineStage>,
+    stages: ReadonlyMap<string, upkeepStages.MachineStage>,
 ): Promise<boolean> {
     const entries = [...stages];
     const puts: rows.RowPut[] = [];
     for (let first = 0; first < entries.length; first += MACHINES_PER_ROW) {
         // Written even without an order in it, to replace a stored order that is no longer valid.
-        const value = JSON.stringify(toOrdered(entries.slice(first, first + MACHINES_PER_ROW)));
+        const value = JSON.stringify(getOrderedMachines(entries.slice(first, first + MACHINES_PER_ROW)));
         puts.push({ table: TABLE, part: work.LEADER_PART, key: getKey(wave, first / MACHINES_PER_ROW), value });
     }
     const outcome = await options.leadership.transact(options.store, { puts }, options.timeoutMs);
     return outcome.kind === "committed";
 }
 
-function toOrdered(entries: ReadonlyArray<readonly [string, stagesOfWave.MachineStage]>): OrderedMachines {
+function getOrderedMachines(entries: ReadonlyArray<readonly [string, upkeepStages.MachineStage]>): OrderedMachines {
     const ordered: Record<string, { worker: string; confirmed: boolean; }> = {};
     for (const [id, stage] of entries) {
         if (stage.kind === "ordered") {
             ordered[id] = { worker: stage.workerName, confirmed: stage.confirmedAt !== undefined };
         }
         else if (stage.kind === "done") {
-            ordered[id] = { worker: EARLIER_LIFE, confirmed: true };
+            ordered[id] = { worker: EARLIER_INCARNATION, confirmed: true };
         }
     }
     return ordered;
--- a/src/leader/upkeepStages.ts
+++ b/src/leader/upkeepStages.ts
@@ -5,7 +5,7 @@
 export type MachineStage =
     | { readonly kind: "pending"; }
     /** Drained: gets no new tasks, and is ordered down when no task is left. */
-    | { readonly kind: "emptying"; readonly workerName: string; readonly since: number; }
+    | { readonly kind: "draining"; readonly workerName: string; readonly since: number; }
     /** The order is stored and may be in flight; at `confirmedAt` the upkeep was known to have begun, or to be over. */
     | { readonly kind: "ordered"; readonly workerName: string; readonly confirmedAt: number | undefined; }
     | { readonly kind: "done"; }
@@ -34,7 +34,7 @@
             case "ordered":
                 stages.set(id, updateOrdered(stage, machine, now, longestMs));
                 break;
-            case "emptying":
+            case "draining":
                 if (machine.up && machine.workerName !== stage.workerName) {
                     stages.set(id, { ...stage, workerName: machine.workerName });
                 }
@@ -64,19 +64,19 @@
     const isNewLife = machine.workerName !== stage.workerName;
     if (stage.confirmedAt === undefined) {
         // The worker may have crashed before the order arrived: the order must not kill tasks of its new incarnation.
-        return isNewLife ? { kind: "emptying", workerName: machine.workerName, since: now } : stage;
+        return isNewLife ? { kind: "draining", workerName: machine.workerName, since: now } : stage;
     }
     return isNewLife || now - stage.confirmedAt > longestMs ? { kind: "done" } : stage;
 }
 
 /** Counts the machines of the wave that are down for upkeep, or are being drained or ordered down. */
 export function countOutOfService(stages: ReadonlyMap<string, MachineStage>, present: PresentMachines): number {
-    let taken = 0;
+    let count = 0;
     for (const [id, stage] of stages) {
-        const isTaken = stage.kind === "emptying" || stage.kind === "ordered" || present.get(id)?.inUpkeep;
-        taken += isTaken ? 1 : 0;
+        const isOutOfService = stage.kind === "draining" || stage.kind === "ordered" || present.get(id)?.inUpkeep;
+        count += isOutOfService ? 1 : 0;
     }
-    return taken;
+    return count;
 }
 
 /** Returns whether every machine of the wave is done or gone. */
