--- a/src/leader/gauges.ts
+++ b/src/leader/gauges.ts
@@ -1,4 +1,4 @@
-/** The leader's jobs, tasks and workers as gauges, counted when somebody asks. */
+/** Gauges of the leader's jobs, tasks and workers, computed when the metrics are read. */
 import type * as observe from "../observe/index";
 import type * as entries from "./entries";
 
@@ -8,6 +8,7 @@
     isPlaceable(worker: entries.WorkerEntry): boolean;
 }
 
+/** Counts jobs, tasks, workers and accelerators by their labels. */
 export function readGauges(input: GaugesInput): observe.GaugeSample[] {
     const jobs = createTally("jobs");
     const tasks = createTally("tasks");
--- a/src/leader/restore.ts
+++ b/src/leader/restore.ts
@@ -1,4 +1,4 @@
-/** Fills the book from what an earlier leader stored. */
+/** Restores jobs and tasks from the progress that an earlier leader stored. */
 import type * as clock from "../clock/index";
 import type * as work from "../work/index";
 import * as crashHistory from "./crashHistory";
@@ -6,19 +6,20 @@
 
 export interface RestorerOptions {
     readonly clock: clock.Clock;
-    /** Jobs that are not over. */
+    /** Jobs that have not ended. */
     readonly active: Set<entries.JobEntry>;
     openOccurrence(job: entries.JobEntry, number: number): entries.OccurrenceEntry;
     markStepDone(step: entries.StepEntry): void;
-    endFailed(occurrence: entries.OccurrenceEntry): void;
+    failOccurrence(occurrence: entries.OccurrenceEntry): void;
     requestStop(task: entries.TaskEntry, reason: string): void;
-    stopAll(occurrence: entries.OccurrenceEntry, reason: string): void;
-    /** Gives the task up if too many workers have crashed under it. */
+    stopOccurrence(occurrence: entries.OccurrenceEntry, reason: string): void;
+    /** Gives the task up if it has exceeded its limit of crashed workers. */
     enforceCrashLimit(task: entries.TaskEntry): void;
 }
 
+/** Restores stored progress. */
 export interface Restorer {
-    /** Puts a job where its stored progress says it is. */
+    /** Restores the state of a job from its stored progress. */
     restoreJob(job: entries.JobEntry, progress: work.JobProgress, version: number): void;
     restoreOccurrence(
         job: entries.JobEntry,
@@ -50,26 +51,26 @@
             case "waiting":
                 break;
             case "placed":
-                takeForRunning(task, getWorker(stored.workerId), options.clock.now());
+                assumeRunning(task, getWorker(stored.workerId), options.clock.now());
                 break;
             case "closing":
-                takeForRunning(task, getWorker(stored.workerId), options.clock.now());
+                assumeRunning(task, getWorker(stored.workerId), options.clock.now());
                 options.requestStop(task, entries.MISSING_RUN_REASON);
                 break;
         }
     };
-    /** The leader that counted its last attempt may have been lost before it stored the end of the job. */
-    const judgeRestored = (task: entries.TaskEntry) => {
+    /** The earlier leader may have failed after it counted the last attempt and before it stored the end of the job. */
+    const enforceLimits = (task: entries.TaskEntry) => {
         options.enforceCrashLimit(task);
         const { step } = task;
         const { maxAttempts } = step.occurrence.job.queue;
         if (!step.spec.lasting && !task.worker && task.failures >= maxAttempts) {
-            options.endFailed(step.occurrence);
+            options.failOccurrence(step.occurrence);
         }
     };
     /**
-     * A gang of which some members have ended is being stopped, as an earlier leader knew. Taken for running, what is left
-     * of it would wait for members that never come.
+     * Stops the rest of a gang of which some members have ended, as the earlier leader was doing. Otherwise the
+     * remaining members would wait forever for the others.
      */
     const stopIncompleteGang = (step: entries.StepEntry) => {
         if (step.spec.gang && step.tasks.some(member => member.phase === "waiting")) {
@@ -108,16 +109,16 @@
                 }
                 stopIncompleteGang(step);
             }
-            occurrence.steps.forEach(step => step.tasks.forEach(judgeRestored));
+            occurrence.steps.forEach(step => step.tasks.forEach(enforceLimits));
             if (occurrence.isEnded) {
-                options.stopAll(occurrence, "jobOver");
+                options.stopOccurrence(occurrence, "jobOver");
             }
         },
     };
 }
 
-/** Until the worker's lists say otherwise. */
-function takeForRunning(task: entries.TaskEntry, worker: entries.WorkerEntry, now: number): void {
+/** Assumes that the task runs, until its worker reports otherwise. */
+function assumeRunning(task: entries.TaskEntry, worker: entries.WorkerEntry, now: number): void {
     entries.assign(task, worker);
     task.phase = "running";
     task.pacePercent = undefined;
--- a/src/leader/term.ts
+++ b/src/leader/term.ts
@@ -1,11 +1,11 @@
-/** One term of leadership: from reading what is stored to the loss of the lease. */
+/** One term of leadership, from loading the stored state to the loss of the lease. */
 import type * as catalog from "../catalog/index";
 import type * as clock from "../clock/index";
 import * as decisions from "../decisions/index";
 import type * as observe from "../observe/index";
 import type * as rows from "../rows/index";
 import * as advice from "./advice";
-import * as sharing from "./bestEffortPacing";
+import * as bestEffortPacing from "./bestEffortPacing";
 import type * as directory from "./directory";
 import * as entries from "./entries";
 import * as execution from "./execution";
@@ -13,21 +13,21 @@
 import * as gauges from "./gauges";
 import * as guarantees from "./guarantees";
 import type * as heldLease from "./heldLease";
-import * as firstLooksOfTerm from "./initialPollLimiter";
-import * as bookOfTasks from "./jobRegistry";
+import * as initialPollLimiter from "./initialPollLimiter";
+import * as jobRegistries from "./jobRegistry";
 import * as knownServices from "./knownServices";
 import type * as machines from "./machines";
-import * as ordersOfTerm from "./orders";
+import * as workerOrders from "./orders";
 import * as passTimer from "./passTimer";
-import * as placeable from "./placementFilter";
+import * as placementFilter from "./placementFilter";
 import * as progressWriter from "./progressWriter";
-import * as contacts from "./reachabilityCheck";
+import * as reachabilityCheck from "./reachabilityCheck";
 import * as reconcile from "./reconcile";
 import * as retention from "./retention";
-import * as slowness from "./slowWorkers";
-import * as waits from "./stalledSteps";
+import * as slowWorkers from "./slowWorkers";
+import * as stalledSteps from "./stalledSteps";
 import * as takeover from "./takeover";
-import * as watch from "./taskWatchdog";
+import * as taskWatchdog from "./taskWatchdog";
 import * as thrownAways from "./thrownAway";
 import * as units from "./units";
 import * as upkeep from "./upkeep";
@@ -48,47 +48,49 @@
     readonly machines: machines.MachineService;
     readonly waves: machines.WavePort;
     readonly policy: decisions.Policy;
-    /** Unique to this life of the instance. */
+    /** Unique to this incarnation of the instance. */
     readonly incarnation: string;
-    /** Longest lease of what runs on a worker. */
+    /** Maximum lease of the tasks on a worker, in milliseconds. */
     readonly maxLeaseMs: number;
-    /** How long after a worker's capacity has shrunk a start may count on what it was. */
+    /** How long a start may rely on a reported capacity, in milliseconds. */
     readonly capacityMs: number;
-    /** How long a machine is down for its upkeep. */
+    /** How long a machine is down for its upkeep, in milliseconds. */
     readonly upkeepMs: number;
-    /** How long the state of an ended job can be asked for. */
+    /** How long the state of an ended job stays available, in milliseconds. */
     readonly retentionMs: number;
     onSuperseded(reason: string): void;
 }
 
+/** A running term. */
 export interface Term {
-    /** Jobs of each queue of which no task has started; `undefined` until the stored jobs are read. */
+    /** Number of jobs by queue of which no task has started; `undefined` until the stored jobs are loaded. */
     getWaitingCounts(): Readonly<Record<string, number>> | undefined;
 }
 
-/** Events of one moment are decided together; short beside the way to a worker and back. */
+/** Delay that batches events into one pass; short compared with the round trip to a worker. */
 const PASS_DELAY_MS = 4;
-/** A pass without an event, for waits that run out. */
+/** Interval of passes without events, for waits that expire. */
 const IDLE_PASS_MS = 250;
-/** Short beside the seconds for which an unlisted worker is waited for. */
+/** Short compared with the seconds after which an unlisted worker is removed. */
 const DIRECTORY_CHECK_MS = 600;
-/** How often the lines on thrown away work and on waits come. */
-const SUMMARY_EVERY_MS = 2_000;
-/** The longest wait that a worker grants a look. */
-const MOST_LOOK_WAIT_MS = 2_000;
+/** Interval of the log lines on thrown away work and on stalled steps. */
+const SUMMARY_INTERVAL_MS = 2_000;
+/** Longest time for which a worker holds a poll open. */
+const MAX_POLL_WAIT_MS = 2_000;
 /**
- * Share of a lease that may pass until it is prolonged: of a lease of 6 s at least 5 s are then left whenever a cut
- * begins, so that work outlives cuts of that length.
+ * Share of a lease after which it is extended. Of a lease of 6 s at least 5 s are then left when a network partition
+ * begins, so tasks survive partitions of that length.
  */
-const LOOK_SHARE = 1 / 6;
+const POLL_SHARE = 1 / 6;
 
+/** Starts a term, which runs until the signal of its leadership is aborted. */
 export function createTerm(options: TermOptions): Term {
     const { clock: time, log, meter, leadership } = options;
     const { signal } = leadership;
-    const { disabledMechanisms: leftOut } = options.policy;
-    const lookWaitMs = Math.round(Math.min(MOST_LOOK_WAIT_MS, LOOK_SHARE * options.maxLeaseMs));
+    const { disabledMechanisms } = options.policy;
+    const pollWaitMs = Math.round(Math.min(MAX_POLL_WAIT_MS, POLL_SHARE * options.maxLeaseMs));
     const predictor = decisions.createPredictor();
-    const firstLooks = firstLooksOfTerm.createInitialPollLimiter(
+    const pollLimiter = initialPollLimiter.createInitialPollLimiter(
         time,
         options.policy.disabledMechanisms.has("firstLooks") ? Infinity : undefined,
     );
@@ -101,19 +103,19 @@
         log,
         meter,
         leadership,
-        onSuperseded: () => options.onSuperseded("another leader's token stands in the store"),
+        onSuperseded: () => options.onSuperseded("the store holds another leader's fencing token"),
     });
     const thrownAway = thrownAways.createThrownAwayWork();
-    const book = bookOfTasks.createJobRegistry({
+    const jobRegistry = jobRegistries.createJobRegistry({
         clock: time,
         log,
         meter,
         signal,
         getQueue: name => options.catalog.getQueue(name),
-        getExpectedTimes: job => units.getExpectedTimes(job, expect),
-        estimateRunMs: step => expect(step),
+        getExpectedTimes: job => units.getExpectedTimes(job, estimateRunMs),
+        estimateRunMs: step => estimateRunMs(step),
         getWorkers: () => registry.workers.values(),
-        disabledMechanisms: leftOut,
+        disabledMechanisms,
         thrownAway,
         listener: {
             onOccurrenceChanged: writer.markOccurrence,
@@ -123,8 +125,8 @@
             onChanged: () => planPass(PASS_DELAY_MS),
         },
     });
-    const orders = ordersOfTerm.createOrders({
-        jobRegistry: book,
+    const orders = workerOrders.createOrders({
+        jobRegistry,
         clock: time,
         log,
         meter,
@@ -132,16 +134,16 @@
         getSession: worker => registry.getSession(worker),
         mayOrder: leadership.mayIssueOrders,
         mayStart: worker => mayStart(worker, time.now()),
-        disabledMechanisms: leftOut,
+        disabledMechanisms,
     });
-    const contact = contacts.createReachabilityCheck({
+    const reachability = reachabilityCheck.createReachabilityCheck({
         clock: time,
         log,
         signal,
         getSession: worker => registry.getSession(worker),
         onChanged: () => planPass(PASS_DELAY_MS),
     });
-    const adviceDesk = advice.createAdviceRequester({
+    const adviceRequester = advice.createAdviceRequester({
         adviser: options.adviser,
         clock: time,
         log,
@@ -157,45 +159,45 @@
             clock: time,
             log,
             leadership,
-            pollLimiter: firstLooks,
+            pollLimiter,
             maxLeaseMs: options.maxLeaseMs,
             isBusy: () => worker.tasks.size > 0 || worker.unknownRunCount > 0,
-            getPollWaitMs: () => watch.getPollWaitMs(worker, lookWaitMs),
-            onPollResult: async lists => {
-                for (const end of lists.ended) {
-                    learn(end);
+            getPollWaitMs: () => taskWatchdog.getPollWaitMs(worker, pollWaitMs),
+            onPollResult: async pollResult => {
+                for (const end of pollResult.ended) {
+                    recordRunTime(end);
                 }
                 reconcile.reconcile(
-                    { jobRegistry: book, clock: time, log, stopUnknownRun: orders.stopUnknownRun },
+                    { jobRegistry, clock: time, log, stopUnknownRun: orders.stopUnknownRun },
                     worker,
-                    lists,
+                    pollResult,
                 );
-                slowness.handleSlowWorker(worker, {
+                slowWorkers.handleSlowWorker(worker, {
                     now: time.now(),
-                    jobRegistry: book,
+                    jobRegistry,
                     log,
-                    disabledMechanisms: leftOut,
+                    disabledMechanisms,
                     getUrgency: step => units.getUrgency(step, createView(new Set())),
                 });
-                sharing.paceFillers(worker, orders.pace);
+                bestEffortPacing.paceBestEffortTasks(worker, orders.pace);
                 planPass(PASS_DELAY_MS);
                 await writer.flush();
             },
             onLost: how => registry.onLost(worker, how),
             onNextIncarnation: (next, lists) => registry.onNextIncarnation(worker, next, lists),
-            onReachability: heard => {
+            onReachability: reachable => {
                 const before = worker.reachable;
-                entries.setReachable(worker, heard, time.now());
-                if (heard && !before) {
-                    book.crashAttribution.recordWorkerSeen(worker.info);
+                entries.setReachable(worker, reachable, time.now());
+                if (reachable && !before) {
+                    jobRegistry.crashAttribution.recordWorkerSeen(worker.info);
                     planPass(PASS_DELAY_MS);
                 }
             },
             onDisconnected: () => worker.disconnectedAt ??= time.now(),
             onFenced: () => options.onSuperseded(`worker ${worker.id} has seen a higher fencing token`),
         });
-    const learn = (end: port.TaskEnd) => {
-        const task = book.getTask(end.task);
+    const recordRunTime = (end: port.TaskEnd) => {
+        const task = jobRegistry.getTask(end.task);
         if (end.how === "done" && task && task.run === end.run && task.saved === "" && task.runningSince > 0) {
             predictor.learn(
                 task.step.occurrence.job.queue.name,
@@ -205,7 +207,7 @@
         }
     };
 
-    const leaveOutUnknown = knownServices.createServiceFilter({
+    const filterKnownServices = knownServices.createServiceFilter({
         catalog: options.catalog,
         log,
         meter,
@@ -216,8 +218,8 @@
         log,
         leadership,
         maxLeaseMs: options.maxLeaseMs,
-        jobRegistry: book,
-        filterKnownServices: leaveOutUnknown,
+        jobRegistry,
+        filterKnownServices,
         openSession,
         closeRun: orders.closeRun,
         onChanged: () => planPass(PASS_DELAY_MS),
@@ -230,28 +232,28 @@
         });
         while (!signal.aborted) {
             await time.sleep(DIRECTORY_CHECK_MS, signal);
-            // What is left of workers that are no longer listed ends without a change of the directory.
+            // Workers that are no longer listed expire without a change of the directory.
             if (listed && !signal.aborted) {
                 registry.applyDirectory(listed);
             }
         }
     };
 
-    const learned = leftOut.has("prediction") ? decisions.createPredictor() : predictor;
-    const expect: units.RunTimeEstimator = step =>
-        learned.predict(step.occurrence.job.queue.name, step.spec.estimateMs);
+    const activePredictor = disabledMechanisms.has("prediction") ? decisions.createPredictor() : predictor;
+    const estimateRunMs: units.RunTimeEstimator = step =>
+        activePredictor.predict(step.occurrence.job.queue.name, step.spec.estimateMs);
     const createView = (guaranteed: ReadonlySet<entries.JobEntry>): units.UnitsOptions => ({
         now: time.now(),
         wallNow: time.wallTime(),
-        estimateRunMs: expect,
+        estimateRunMs,
         policy: options.policy,
         isGuaranteed: job => guaranteed.has(job),
     });
 
-    const { isPlaceable, mayStart } = placeable.createPlacementFilter({
+    const { isPlaceable, mayStart } = placementFilter.createPlacementFilter({
         catalog: options.catalog,
         capacityMs: options.capacityMs,
-        disabledMechanisms: leftOut,
+        disabledMechanisms,
         hasSession: worker => registry.getSession(worker) !== undefined,
     });
 
@@ -263,37 +265,37 @@
         if (!leadership.mayIssueOrders()) {
             return;
         }
-        book.releaseDueOccurrences();
+        jobRegistry.releaseDueOccurrences();
         const now = time.now();
-        const view = createView(guarantees.findGuaranteedJobs(book.active, options.catalog.getAccount));
-        watch.stopUnviableTasks([...registry.workers.values()], {
+        const view = createView(guarantees.findGuaranteedJobs(jobRegistry.active, options.catalog.getAccount));
+        taskWatchdog.stopUnviableTasks([...registry.workers.values()], {
             now,
-            expect,
-            jobRegistry: book,
+            expect: estimateRunMs,
+            jobRegistry,
             log,
-            disabledMechanisms: leftOut,
+            disabledMechanisms,
         });
-        const waiting = units.collectWaitingUnits(book.active, view);
+        const waiting = units.collectWaitingUnits(jobRegistry.active, view);
         if (waiting.length === 0) {
             return;
         }
         const usable = [...registry.workers.values()].filter(worker => isPlaceable(worker, now));
-        adviceDesk.requestAdvice(waiting, usable);
+        adviceRequester.requestAdvice(waiting, usable);
         let groups: ReadonlyMap<string, units.GroupOfTasks> = new Map();
         const plan = decisions.plan({
             now,
-            disabledMechanisms: leftOut,
+            disabledMechanisms,
             workers: usable.map(units.toPlaceableWorker),
             units: waiting.map(item => item.unit),
             getRunningGroups: () => {
-                groups = units.collectRunningGroups(book.active, view);
+                groups = units.collectRunningGroups(jobRegistry.active, view);
                 return [...groups.values()].map(item => item.group);
             },
         });
         execution.executePlan({
-            jobRegistry: book,
+            jobRegistry,
             orders,
-            contact,
+            reachability,
             log,
             meter,
             getWorker: registry.getWorker,
@@ -310,36 +312,36 @@
     const passes = passTimer.createPassTimer(time, runPass);
     const planPass = passes.schedulePass;
 
-    const tellWaits = () => {
+    const logStalledSteps = () => {
         const now = time.now();
-        waits.logStalledSteps({
+        stalledSteps.logStalledSteps({
             now,
             log,
-            waiting: units.collectWaitingUnits(book.active, createView(new Set())),
+            waiting: units.collectWaitingUnits(jobRegistry.active, createView(new Set())),
             workers: [...registry.workers.values()],
             isPlaceable: worker => isPlaceable(worker, now),
         });
     };
-    const tellSummaries = async () => {
-        let told = "{}";
+    const logSummaries = async () => {
+        let lastLogged = "{}";
         while (!signal.aborted) {
-            await time.sleep(SUMMARY_EVERY_MS, signal);
+            await time.sleep(SUMMARY_INTERVAL_MS, signal);
             const coreSeconds = thrownAway.getTotals();
-            if (JSON.stringify(coreSeconds) !== told) {
-                told = JSON.stringify(coreSeconds);
+            if (JSON.stringify(coreSeconds) !== lastLogged) {
+                lastLogged = JSON.stringify(coreSeconds);
                 log.info("workThrownAway", { token: leadership.token, coreSeconds });
             }
-            tellWaits();
+            logStalledSteps();
         }
     };
 
-    const run = async () => {
+    const runTerm = async () => {
         const version = await takeover.loadStoredState({
             store: options.store,
             clock: time,
             log,
             signal,
-            jobRegistry: book,
+            jobRegistry,
             getWorker: registry.getWorker,
             onOrphans: keys => void retention.removeOrphans({ store: options.store, log, leadership }, keys),
         });
@@ -349,7 +351,7 @@
         ready = true;
         meter.record("takeover_duration_ms", {}, time.now() - openedAt);
         void followDirectory();
-        void tellSummaries();
+        void logSummaries();
         upkeep.runUpkeep({
             wavePort: options.waves,
             service: options.machines,
@@ -359,7 +361,7 @@
             leadership,
             holder: options.incarnation,
             upkeepMs: options.upkeepMs,
-            jobRegistry: book,
+            jobRegistry,
             getWorker: registry.findCurrent,
             onFenced: () => options.onSuperseded("a machine has seen a higher fencing token"),
         });
@@ -368,7 +370,7 @@
             clock: time,
             log,
             leadership,
-            jobRegistry: book,
+            jobRegistry,
             retentionMs: options.retentionMs,
         });
         planPass(0);
@@ -379,7 +381,7 @@
             signal,
             after: version,
             onRows: changed => {
-                takeover.applyIntakeRows(book, changed);
+                takeover.applyIntakeRows(jobRegistry, changed);
                 planPass(PASS_DELAY_MS);
             },
         });
@@ -387,7 +389,7 @@
     meter.increment("terms_total");
     const endGauges = meter.registerGauges(() =>
         gauges.readGauges({
-            active: book.active,
+            active: jobRegistry.active,
             workers: registry.workers.values(),
             isPlaceable: worker => isPlaceable(worker, time.now()),
         })
@@ -396,7 +398,7 @@
         endGauges();
         registry.closeSessions();
     });
-    void run();
+    void runTerm();
 
     return {
         getWaitingCounts: () => {
@@ -404,7 +406,7 @@
                 return undefined;
             }
             const counts: Record<string, number> = {};
-            for (const job of book.active) {
+            for (const job of jobRegistry.active) {
                 if (job.state === "queued") {
                     counts[job.queue.name] = (counts[job.queue.name] ?? 0) + 1;
                 }
--- a/src/leader/units.ts
+++ b/src/leader/units.ts
@@ -1,4 +1,4 @@
-/** The book as the placement decisions see it. */
+/** Converts jobs and workers to the input of the placement decisions. */
 import * as decisions from "../decisions/index";
 import * as work from "../work/index";
 import * as crashHistory from "./crashHistory";
@@ -6,19 +6,20 @@
 import type * as outcomes from "./outcomes";
 import * as suspects from "./suspects";
 
-/** A waiting unit, its urgency, and the tasks that it stands for. */
+/** A waiting unit, its urgency, and its tasks. */
 export interface UnitOfTasks {
     readonly unit: decisions.WaitingUnit;
     readonly urgency: decisions.Urgency;
     readonly tasks: readonly entries.TaskEntry[];
 }
 
+/** A group of placed tasks that are stopped together, and its tasks. */
 export interface GroupOfTasks {
     readonly group: decisions.RunningGroup;
     readonly tasks: readonly entries.TaskEntry[];
 }
 
-/** How long a task of the step is expected to take, from what was learned of the queue. */
+/** Estimates the run time of a task of the step in milliseconds, from what was learned about its queue. */
 export type RunTimeEstimator = (step: entries.StepEntry) => number;
 
 export interface UnitsOptions {
@@ -26,10 +27,11 @@
     readonly wallNow: number;
     readonly estimateRunMs: RunTimeEstimator;
     readonly policy: decisions.Policy;
-    /** Whether the job's needs lie within what its account is guaranteed. */
+    /** Whether the job is covered by its account's guarantee. */
     isGuaranteed(job: entries.JobEntry): boolean;
 }
 
+/** Collects the units that can be placed now, in the order of the policy. */
 export function collectWaitingUnits(
     active: Iterable<entries.JobEntry>,
     options: UnitsOptions,
@@ -70,15 +72,15 @@
     options: UnitsOptions,
 ): decisions.WaitingUnit {
     const { spec } = step;
-    const first = tasks[0]!;
+    const firstTask = tasks[0]!;
     const { job } = step.occurrence;
-    const waitedMs = options.now - Math.max(step.readySince ?? options.now, first.waitingSince);
+    const waitedMs = options.now - Math.max(step.readySince ?? options.now, firstTask.waitingSince);
     const stepName = getStepName(step);
-    const suspect = waitedMs < ISOLATION_PATIENCE_MS && !options.policy.disabledMechanisms.has("isolation")
+    const mayCrashWorker = waitedMs < ISOLATION_PATIENCE_MS && !options.policy.disabledMechanisms.has("isolation")
         && tasks.some(task => crashHistory.isSuspect(task.crashes));
     return {
-        key: first.name,
-        equivalenceClass: first.failures > 0 || suspect ? first.name : stepName,
+        key: firstTask.name,
+        equivalenceClass: firstTask.failures > 0 || mayCrashWorker ? firstTask.name : stepName,
         step: stepName,
         service: job.queue.service,
         needs: step.needs,
@@ -92,22 +94,22 @@
         tier: urgency.tier,
         latencySensitive: spec.targetMs > 0,
         bestEffort: spec.fills,
-        mayCrashWorker: suspect,
-        excludedWorkerIds: waitedMs < OTHER_WORKER_PATIENCE_MS ? unionFailedOn(tasks) : NO_WORKERS,
-        allowedWorkerIds: job.queue.advice ? getTicketed(step, options.now) : undefined,
+        mayCrashWorker,
+        excludedWorkerIds: waitedMs < OTHER_WORKER_PATIENCE_MS ? getFailedWorkerIds(tasks) : NO_WORKERS,
+        allowedWorkerIds: job.queue.advice ? getTicketedWorkerIds(step, options.now) : undefined,
         waitedMs,
         expectedDurationMs: options.estimateRunMs(step),
     };
 }
 
-/** Beyond it a task that may take its worker down starts wherever there is room. */
+/** Wait after which a task that may crash its worker is placed on any worker with room. */
 const ISOLATION_PATIENCE_MS = 2_000;
 
-/** Beyond it a task that has failed starts again on any worker: it may have failed on each that it fits on. */
+/** Wait after which a failed task is placed on any worker: it may have failed on each that has room for it. */
 const OTHER_WORKER_PATIENCE_MS = 2_000;
 const NO_WORKERS: ReadonlySet<string> = new Set();
 
-function unionFailedOn(tasks: readonly entries.TaskEntry[]): ReadonlySet<string> {
+function getFailedWorkerIds(tasks: readonly entries.TaskEntry[]): ReadonlySet<string> {
     if (tasks.length === 1) {
         return tasks[0]!.failedOn;
     }
@@ -130,7 +132,7 @@
     return counts;
 }
 
-function getTicketed(step: entries.StepEntry, now: number): ReadonlySet<string> {
+function getTicketedWorkerIds(step: entries.StepEntry, now: number): ReadonlySet<string> {
     const valid = new Set<string>();
     for (const [workerId, ticket] of step.tickets) {
         if (ticket.until > now) {
@@ -140,20 +142,21 @@
     return valid;
 }
 
+/** Returns the urgency by which the policy orders the step. */
 export function getUrgency(step: entries.StepEntry, options: UnitsOptions): decisions.Urgency {
     const { occurrence } = step;
     const { job } = occurrence;
     const since = occurrence.dueAt ?? job.submission.acceptedAt;
     return {
-        tier: getClaim(step, options),
+        tier: getPreemptionTier(step, options),
         priority: job.queue.priority,
         ageMs: options.wallNow - since,
         objectiveMs: getExpectedTimes(job, options.estimateRunMs).objectiveMs,
-        remainingMs: getChainFromMs(step, options.estimateRunMs),
+        remainingMs: getRemainingPathMs(step, options.estimateRunMs),
     };
 }
 
-function getClaim(step: entries.StepEntry, options: UnitsOptions): decisions.Claim {
+function getPreemptionTier(step: entries.StepEntry, options: UnitsOptions): decisions.Claim {
     const { job } = step.occurrence;
     if (options.isGuaranteed(job)) {
         return decisions.Claim.Guaranteed;
@@ -164,29 +167,29 @@
     return job.queue.priority === 0 ? decisions.Claim.Urgent : decisions.Claim.None;
 }
 
-/** Of an occurrence of the job; its objective is counted from its acceptance, or from when it is due. */
-export function getExpectedTimes(job: entries.JobEntry, expect: RunTimeEstimator): outcomes.ExpectedTimes {
+/** Expected times of an occurrence of the job. The objective counts from the job's acceptance or from the due time. */
+export function getExpectedTimes(job: entries.JobEntry, estimateRunMs: RunTimeEstimator): outcomes.ExpectedTimes {
     const [occurrence] = job.occurrences.values();
-    const chainMs = occurrence ? getChainMs(occurrence, expect) : 0;
-    return { criticalPathMs: chainMs, objectiveMs: job.queue.stretch * chainMs + job.queue.objectiveMs };
+    const criticalPathMs = occurrence ? getCriticalPathMs(occurrence, estimateRunMs) : 0;
+    return { criticalPathMs, objectiveMs: job.queue.stretch * criticalPathMs + job.queue.objectiveMs };
 }
 
-/** The longest chain of work of an occurrence. */
-function getChainMs(occurrence: entries.OccurrenceEntry, expect: RunTimeEstimator): number {
+/** Returns the length of an occurrence's critical path in milliseconds. */
+function getCriticalPathMs(occurrence: entries.OccurrenceEntry, estimateRunMs: RunTimeEstimator): number {
     return occurrence.steps
         .filter(step => step.spec.after.length === 0)
-        .reduce((longest, step) => Math.max(longest, getChainFromMs(step, expect)), 0);
+        .reduce((longest, step) => Math.max(longest, getRemainingPathMs(step, estimateRunMs)), 0);
 }
 
-/** The longest chain of work from a step's start to the end of the occurrence. */
-function getChainFromMs(step: entries.StepEntry, expect: RunTimeEstimator): number {
+/** Returns the length of the critical path from the step's start to the end of the occurrence, in milliseconds. */
+function getRemainingPathMs(step: entries.StepEntry, estimateRunMs: RunTimeEstimator): number {
     const longestAfter = step.occurrence.steps
         .filter(next => next.spec.after.includes(step.number) && next.number > step.number)
-        .reduce((longest, next) => Math.max(longest, getChainFromMs(next, expect)), 0);
-    return expect(step) + longestAfter;
+        .reduce((longest, next) => Math.max(longest, getRemainingPathMs(next, estimateRunMs)), 0);
+    return estimateRunMs(step) + longestAfter;
 }
 
-/** What runs, as groups that are stopped together. */
+/** Collects the placed tasks, grouped by those that are stopped together. */
 export function collectRunningGroups(
     active: Iterable<entries.JobEntry>,
     options: UnitsOptions,
@@ -228,7 +231,7 @@
     const { elapsedMs, unsavedMs, lossCoreSeconds } = estimateStopLoss(tasks, options.now);
     return {
         key,
-        tier: getClaim(step, options),
+        tier: getPreemptionTier(step, options),
         members: tasks.map(task => ({ workerId: task.worker!.id, needs: step.needs })),
         lossCoreSeconds,
         costCoreSeconds: options.policy.getStopCost({
@@ -242,23 +245,23 @@
     };
 }
 
-/** A start that counts against its task's budget for crashes is dearer to stop, the more of that is used up. */
+/** A start that counts against its task's crash budget costs more to stop, the more of the budget is used. */
 function getBudgetAtStake(tasks: readonly entries.TaskEntry[]): number {
     const charged = tasks.filter(task => task.crashes.isStartCharged);
     return Math.max(0, ...charged.map(task => crashHistory.getCounts(task.crashes).crashBudgetUsed));
 }
 
-/** What a stop throws away of tasks that are stopped together. */
+/** Estimates the work that a stop throws away of tasks that are stopped together. */
 export function estimateStopLoss(tasks: readonly entries.TaskEntry[], now: number) {
     const { spec } = tasks[0]!.step;
     const since = Math.min(...tasks.map(task => task.phase === "running" ? task.runningSince : now));
     const elapsedMs = now - since;
-    const unsavedMs = spec.checkpoints ? Math.min(elapsedMs, RESTORE_LOSS_MS) : elapsedMs;
+    const unsavedMs = spec.checkpoints ? Math.min(elapsedMs, RESUME_LOSS_MS) : elapsedMs;
     const lossCoreSeconds = tasks.length * decisions.getCoreEquivalents(spec.needs) * unsavedMs / 1_000;
     return { elapsedMs, unsavedMs, lossCoreSeconds };
 }
 
-/** Tasks that are not at work have nothing to lose: their step misses them already. */
+/** Tasks that are not at work are not protected: their step already counts them as missing. */
 function getProtection(tasks: readonly entries.TaskEntry[]): decisions.DisruptionBudget | undefined {
     const { step } = tasks[0]!;
     const { mayMiss } = step.spec;
@@ -272,9 +275,10 @@
     return `${step.occurrence.job.submission.jobId}.${step.occurrence.number}.${step.number}`;
 }
 
-/** A stop saves all that was done, so a task that saves loses next to nothing and is stopped before others. */
-const RESTORE_LOSS_MS = 100;
+/** A stop saves a checkpoint, so a task with checkpoints loses almost nothing and is stopped before others. */
+const RESUME_LOSS_MS = 100;
 
+/** Converts a worker to the input of the placement decisions. */
 export function toPlaceableWorker(worker: entries.WorkerEntry): decisions.PlaceableWorker {
     const freeing = decisions.copyResources(work.NO_RESOURCES);
     let serving = 0;
