--- a/src/clock/__tests__/timestamp.test.ts
+++ b/src/clock/__tests__/timestamp.test.ts
@@ -1,11 +1,11 @@
 import * as clock from "../index";
 
-describe("the time since a moment", () => {
+describe("the time since a timestamp", () => {
     const cases: ReadonlyArray<readonly [name: string, monotonic: number, wall: number, elapsed: number]> = [
-        ["is the same on both clocks as a rule", 700, 700, 700],
-        // Symptom: a machine that wakes up takes what it read before it was suspended for recent.
-        ["counts a pause that the monotonic clock did not", 700, 6_700, 6_700],
-        ["counts on where the time of day was set back", 700, -1_300, 700],
+        ["equals the time on both clocks if they agree", 700, 700, 700],
+        // Guards against taking data for recent that was read before the machine was suspended.
+        ["includes a pause during which the monotonic clock stood still", 700, 6_700, 6_700],
+        ["keeps growing when the wall clock is set back", 700, -1_300, 700],
     ];
     test.each(cases)("%s", (_name, monotonic, wall, elapsed) => {
         const since = { monotonicMs: 5_000, wallMs: 1_000_000 };
--- a/src/clock/clock.ts
+++ b/src/clock/clock.ts
@@ -1,23 +1,24 @@
 /**
- * The clock that every module takes as a parameter, so that tests can drive time by hand.
+ * The clock that every module takes as a parameter, so that tests can control time.
  * All times and durations are in milliseconds.
  */
 
-/** Cancels a timer. Calling it again, or after the timer fired, does nothing. */
+/** Cancels a timer. Has no effect if the timer has fired or was cancelled before. */
 export type CancelTimer = () => void;
 
+/** Source of time and timers. */
 export interface Clock {
-    /** Wall-clock time, in milliseconds since the Unix epoch. May step; use it only for times that leave the process. */
+    /** Wall-clock time, in milliseconds since the Unix epoch. May jump; use it only for times that leave the process. */
     wallTime(): number;
-    /** Milliseconds on a monotonic clock that also advances while the process is paused. Leases are measured with it. */
+    /** Monotonic time in milliseconds, which also advances while the process is paused. Used to measure leases. */
     now(): number;
-    /** Calls back once after `ms`. */
+    /** Calls `callback` once after `ms`. */
     setTimer(ms: number, callback: () => void): CancelTimer;
     /** Resolves after `ms`, or as soon as the signal is aborted. Never rejects. */
     sleep(ms: number, signal?: AbortSignal): Promise<void>;
 }
 
-/** Builds `sleep` from `setTimer`, for every clock alike. */
+/** Implements `Clock.sleep` by `setTimer`. */
 export function createSleep(setTimer: Clock["setTimer"]): Clock["sleep"] {
     return (ms, signal) =>
         new Promise<void>(resolve => {
--- a/src/clock/manualClock.ts
+++ b/src/clock/manualClock.ts
@@ -1,8 +1,9 @@
+/** A clock for tests. */
 import * as clock from "./clock";
 
 /** A clock that stands still until a test advances it. */
 export interface ManualClock extends clock.Clock {
-    /** Moves time forward, firing due timers in order and letting promise callbacks run between them. */
+    /** Advances time by `ms`, firing due timers in order and running promise callbacks between them. */
     advance(ms: number): Promise<void>;
 }
 
@@ -12,14 +13,14 @@
     readonly callback: () => void;
 }
 
-/** Wall time starts at `startAt` (milliseconds since the epoch), monotonic time at 0. */
+/** Wall-clock time starts at `startAt` (milliseconds since the Unix epoch), monotonic time at 0. */
 export function createManualClock(startAt = 0): ManualClock {
     const timers = new Set<ManualTimer>();
-    let current = 0;
+    let currentMs = 0;
     let nextOrder = 0;
 
     const setTimer: clock.Clock["setTimer"] = (ms, callback) => {
-        const timer: ManualTimer = { dueAt: current + Math.max(0, ms), order: nextOrder++, callback };
+        const timer: ManualTimer = { dueAt: currentMs + Math.max(0, ms), order: nextOrder++, callback };
         timers.add(timer);
         return () => {
             timers.delete(timer);
@@ -40,25 +41,25 @@
     };
 
     return {
-        wallTime: () => startAt + current,
-        now: () => current,
+        wallTime: () => startAt + currentMs,
+        now: () => currentMs,
         setTimer,
         sleep: clock.createSleep(setTimer),
         advance: async ms => {
-            const until = current + ms;
+            const until = currentMs + ms;
             await drainMicrotasks();
             for (let timer = getNextDue(until); timer; timer = getNextDue(until)) {
                 timers.delete(timer);
-                current = Math.max(current, timer.dueAt);
+                currentMs = Math.max(currentMs, timer.dueAt);
                 timer.callback();
                 await drainMicrotasks();
             }
-            current = until;
+            currentMs = until;
         },
     };
 }
 
-/** Lets all promise callbacks that are ready run; an immediate fires only after the microtask queue is empty. */
+/** Runs all promise callbacks that are ready: an immediate fires only after the microtask queue is empty. */
 function drainMicrotasks(): Promise<void> {
     return new Promise(resolve => setImmediate(resolve));
 }
--- a/src/clock/systemClock.ts
+++ b/src/clock/systemClock.ts
@@ -1,3 +1,4 @@
+/** The clock of production. */
 import * as perfHooks from "node:perf_hooks";
 import * as clock from "./clock";
 
--- a/src/clock/timestamp.ts
+++ b/src/clock/timestamp.ts
@@ -1,25 +1,27 @@
+/** Timestamps that survive a suspended machine and a changed time of day. */
 import type * as clock from "./clock";
 
-/** One moment on both clocks. */
+/** A point in time on both clocks, in milliseconds. */
 export interface Timestamp {
     readonly monotonicMs: number;
     readonly wallMs: number;
 }
 
+/** The current time on both clocks. */
 export function getTimestamp(time: Pick<clock.Clock, "now" | "wallTime">): Timestamp {
     return { monotonicMs: time.now(), wallMs: time.wallTime() };
 }
 
 /**
- * Milliseconds since the moment, by the clock that lost most time. A machine that was suspended wakes up with a
- * monotonic clock that did not count the pause, and would take for recent what is seconds old; a time of day that was
- * set back says too little as well.
+ * Milliseconds since a timestamp, by the clock that advanced more. The monotonic clock may not advance while the machine
+ * is suspended, so that old data would be taken for recent; the wall clock counts too little if it is set back.
  */
 export function getElapsedMs(time: Pick<clock.Clock, "now" | "wallTime">, since: Timestamp): number {
     const now = getTimestamp(time);
     return Math.max(now.monotonicMs - since.monotonicMs, now.wallMs - since.wallMs);
 }
 
-export function addMs(moment: Timestamp, ms: number): Timestamp {
-    return { monotonicMs: moment.monotonicMs + ms, wallMs: moment.wallMs + ms };
+/** The timestamp `ms` later on both clocks. */
+export function addMs(timestamp: Timestamp, ms: number): Timestamp {
+    return { monotonicMs: timestamp.monotonicMs + ms, wallMs: timestamp.wallMs + ms };
 }
