--- a/src/work/__tests__/limits.test.ts
+++ b/src/work/__tests__/limits.test.ts
@@ -8,14 +8,14 @@
     return { payload: "", steps, repeats, firstDueAt: 0, periodMs: 0 };
 }
 
-describe("a job that the scheduler", () => {
+describe("the limits of a job", () => {
     const cases: ReadonlyArray<readonly [name: string, spec: work.JobSpec, excess: RegExp | undefined]> = [
-        ["can hold", createSpec([128, 128, 128]), undefined],
-        ["can hold many times", createSpec([5], 10_000), undefined],
-        ["cannot keep in memory", createSpec([1e9]), /1000000000 tasks/],
-        ["cannot keep the progress of", createSpec([700, 700]), /1400 tasks.*1170/],
-        ["cannot list the ends of", createSpec([1], 10_001), /10001 occurrences/],
-        ["cannot keep in memory when all is due at once", createSpec([100], 1_000), /100000 tasks over all/],
+        ["accept a job of moderate size", createSpec([128, 128, 128]), undefined],
+        ["accept a job with many occurrences", createSpec([5], 10_000), undefined],
+        ["reject a job with too many tasks", createSpec([1e9]), /1000000000 tasks/],
+        ["reject a job whose progress exceeds a row", createSpec([700, 700]), /1400 tasks.*1170/],
+        ["reject a job with too many occurrences to list", createSpec([1], 10_001), /10001 occurrences/],
+        ["reject a job with too many tasks over all occurrences", createSpec([100], 1_000), /100000 tasks over all/],
     ];
     test.each(cases)("%s", (_name, spec, excess) => {
         const found = work.findExceededLimit(spec, ROW_BYTES);
@@ -23,7 +23,7 @@
         expect(found ?? "").toMatch(excess ?? /^$/);
     });
 
-    test("holds fits into a row, whatever becomes of its tasks", () => {
+    test("guarantee that the progress fits into a row in the worst case", () => {
         const tasks = Array.from({ length: 1_170 }, (_, index): work.TaskProgress => ({
             kind: "placed",
             run: 99_999,
--- a/src/work/__tests__/tables.test.ts
+++ b/src/work/__tests__/tables.test.ts
@@ -2,15 +2,15 @@
 
 const JOBS = 16_000;
 
-describe("parts of the intake", () => {
+describe("parts of submissions", () => {
     test.each([
-        { name: "in a row", getId: (number: number) => number.toString(16).padStart(16, "0") },
-        { name: "that differ in their first digits", getId: (number: number) => number.toString(16).padEnd(16, "0") },
+        { name: "consecutive", getId: (number: number) => number.toString(16).padStart(16, "0") },
+        { name: "differing in their first digits", getId: (number: number) => number.toString(16).padEnd(16, "0") },
         {
-            name: "at random",
+            name: "random",
             getId: (number: number) => (number * 0x9e3779b1 >>> 0).toString(16).padStart(8, "0").repeat(2),
         },
-    ])("take ids $name evenly", ({ getId }) => {
+    ])("are evenly filled by $name ids", ({ getId }) => {
         const counts = new Map<string, number>();
         for (let number = 1; number <= JOBS; number++) {
             const part = work.getIntakePart(getId(number));
@@ -22,7 +22,7 @@
         expect(Math.min(...counts.values())).toBeGreaterThan(0.7 * even);
     });
 
-    test("hold a job's cancellation where its submission lies", () => {
+    test("include the part of any job id", () => {
         expect(work.INTAKE_PARTS).toContain(work.getIntakePart("00000000000000aa"));
     });
 });
--- a/src/work/index.ts
+++ b/src/work/index.ts
@@ -1,4 +1,4 @@
-/** Jobs, steps, occurrences and tasks: what is handed in, and how far it has come, as both are stored. */
+/** Jobs, steps, occurrences and tasks: their specification and their progress, both as stored. */
 export { findExceededLimit } from "./limits";
 export {
     decodeOccurrence,
--- a/src/work/limits.ts
+++ b/src/work/limits.ts
@@ -1,32 +1,32 @@
 /**
- * Jobs that the scheduler cannot hold, told before they are accepted.
+ * Size limits that a job has to meet to be accepted.
  *
- * What goes wrong without it: one job of a million tasks takes all memory of the leader, and of each successor that
- * reads its row; or its progress does not fit into a row, and since rows are written in turn nothing of any job is
- * stored from then on. One notices instances that end one after the other, or `progressNotWritten` without an end.
+ * A job with a million tasks exhausts the memory of the leader and of each successor that reads its row, so that the
+ * instances crash one after another. If the progress of a job does not fit into a row, no progress of any job is stored
+ * from then on, since rows are written in sequence; `progressNotWritten` is then logged without end.
  */
 import type * as spec from "./spec";
 
-/** Of one job, over all its occurrences: as many as a whole site runs at the size to design for. */
-const MOST_TASKS = 96_000;
-/** Those that are over are listed in the job's row, with four digits and a comma each. */
-const MOST_OCCURRENCES = 10_000;
+/** Maximum number of tasks of a job over all its occurrences: as many as a site of the intended size runs at once. */
+const MAX_TASKS = 96_000;
+/** The row of a job lists the occurrences that have ended, with four digits and a comma each. */
+const MAX_OCCURRENCES = 10_000;
 /**
- * A task in its occurrence's row: run, failures, what it saved, its worker's number, the weight and the number of lost
- * runs and, at worst, its worker's name.
+ * Maximum encoded size of a task in the row of its occurrence: run, failures, checkpoint, worker index, crash budget
+ * used, known crashes and, at worst, the id of its worker.
  */
-const TASK_BYTES = 56;
+const MAX_TASK_BYTES = 56;
 
-/** What is too much about the job, in words; `undefined`: nothing. `rowBytes`: the longest value of a row. */
+/** Describes the limit that the job exceeds, or returns `undefined`. `rowBytes` is the maximum size of a row's value. */
 export function findExceededLimit(job: spec.JobSpec, rowBytes: number): string | undefined {
     const tasks = job.steps.reduce((sum, step) => sum + step.count, 0);
-    const mostTasks = Math.floor(rowBytes / TASK_BYTES);
-    if (tasks > mostTasks) {
-        return `${tasks} tasks, more than the ${mostTasks} whose progress can be stored`;
+    const maxStoredTasks = Math.floor(rowBytes / MAX_TASK_BYTES);
+    if (tasks > maxStoredTasks) {
+        return `${tasks} tasks, more than the ${maxStoredTasks} whose progress can be stored`;
     }
-    if (job.repeats > MOST_OCCURRENCES) {
-        return `${job.repeats} occurrences, more than ${MOST_OCCURRENCES}`;
+    if (job.repeats > MAX_OCCURRENCES) {
+        return `${job.repeats} occurrences, more than ${MAX_OCCURRENCES}`;
     }
-    const all = tasks * Math.max(1, job.repeats);
-    return all > MOST_TASKS ? `${all} tasks over all occurrences, more than ${MOST_TASKS}` : undefined;
+    const totalTasks = tasks * Math.max(1, job.repeats);
+    return totalTasks > MAX_TASKS ? `${totalTasks} tasks over all occurrences, more than ${MAX_TASKS}` : undefined;
 }
--- a/src/work/progress.ts
+++ b/src/work/progress.ts
@@ -1,44 +1,48 @@
 /**
- * How far a job has come, as it is stored: one row for the job and one for each occurrence that has begun.
+ * Stored progress: one row for each job and one for each of its occurrences that has started.
  *
- * The occurrence's row names a task's run and worker before the order goes out. An instance that takes over thereby
- * knows every order that may be under way, which neither the workers nor its predecessor could tell it.
+ * A task's run and worker are stored in the row of its occurrence before the start request is sent. So a new leader
+ * knows every request that may be in flight, which neither the workers nor its predecessor can tell it.
  */
 
-/** What callers see of a job. */
+/** State of a job as reported to callers. */
 export type JobState = "queued" | "running" | "completed" | "failed" | "cancelled";
 
+/** The row of a job. */
 export interface JobProgress {
     readonly state: JobState;
-    /** Numbers of the occurrences that are over, whatever their outcome. */
+    /** Numbers of the occurrences that have ended, with any outcome. */
     readonly ended: readonly number[];
     /** Whether an occurrence has failed. */
     readonly failed: boolean;
-    /** Wall-clock time of the end; 0 while the job goes on. */
+    /** Wall-clock time of the end in milliseconds; 0 until then. */
     readonly endedAt: number;
 }
 
-/** What is kept of a task from run to run. */
+/** State of a task that is kept from one run to the next. */
 interface Attempts {
+    /** Number of the current or latest run. */
     readonly run: number;
-    /** Runs that ended as failed. */
+    /** Number of runs that failed. */
     readonly failures: number;
-    /** Workers that may have crashed under it, and starts that count like them. */
+    /** Number of workers that may have crashed because of the task, plus starts that count as such crashes. */
     readonly crashBudgetUsed: number;
-    /** Workers that crashed under it, as far as is known, in halves. */
+    /** Known crashes of workers while they ran the task, in halves. */
     readonly knownCrashes: number;
+    /** Opaque checkpoint from which the next run resumes; empty if there is none. */
     readonly saved: string;
 }
 
+/** Stored state of a task. */
 export type TaskProgress =
     | { readonly kind: "waiting"; } & Attempts
-    /** Ordered or running on that worker under that run. */
+    /** Requested or running on that worker under that run. */
     | { readonly kind: "placed"; readonly workerId: string; } & Attempts
-    /** Counted as lost, or as never begun; its start may still come to that worker, which has to refuse it first. */
+    /** Counted as lost or never started; a late start request may still reach the worker, which must reject it first. */
     | { readonly kind: "closing"; readonly workerId: string; } & Attempts
     | { readonly kind: "done"; readonly run: number; };
 
-/** The tasks of each step. */
+/** Progress of an occurrence: the tasks of each step. */
 export type OccurrenceProgress = ReadonlyArray<readonly TaskProgress[]>;
 
 type EncodedTask =
@@ -58,10 +62,10 @@
     readonly steps: ReadonlyArray<readonly EncodedTask[]>;
 }
 
-/** Stands for a worker's index where the task is on none. */
-const NO_WORKER = -1;
+/** Worker index of a task that is on no worker. */
+const NO_WORKER_INDEX = -1;
 
-/** Short, since wide steps are written again with each start and end; a done task takes its run number alone. */
+/** Encodes the row of an occurrence compactly, as each start or end of a task rewrites it; a done task is only its run. */
 export function encodeOccurrence(progress: OccurrenceProgress): string {
     const workers = new Map<string, number>();
     const getIndex = (workerId: string) => {
@@ -74,7 +78,7 @@
             case "done":
                 return [task.run];
             case "waiting":
-                return encodeAttempts(task, NO_WORKER);
+                return encodeAttempts(task, NO_WORKER_INDEX);
             case "placed":
                 return encodeAttempts(task, getIndex(task.workerId));
             case "closing": {
@@ -97,6 +101,7 @@
         : [run, failures, saved, worker];
 }
 
+/** Inverse of `encodeOccurrence`; also reads rows without the optional trailing numbers. */
 export function decodeOccurrence(text: string): OccurrenceProgress {
     const encoded = JSON.parse(text) as EncodedOccurrence;
     const decodeTask = (task: EncodedTask): TaskProgress => {
