--- a/src/decisions/__tests__/fixtures.ts
+++ b/src/decisions/__tests__/fixtures.ts
@@ -1,3 +1,4 @@
+/** Workers, units and groups for tests of scheduling passes. */
 import * as types from "../types";
 
 /** A worker with 8 accelerators, 32 cores and 64 GB, all free. */
--- a/src/decisions/__tests__/indexedPlan.test.ts
+++ b/src/decisions/__tests__/indexedPlan.test.ts
@@ -1,11 +1,11 @@
-// Symptom: an index of workers that is off by one change places tasks on full workers, or leaves room unused.
-// Sequence: a pass places, reserves and stops one unit after another; each changes what the next one may take.
-// Cause: the index and the rooms that it stands for are kept by different lines of code.
+// Compares the plan with a reference implementation without an index. Each start, reservation and stop of a pass changes
+// the free resources and the index separately; if the index misses a change, tasks are placed on full workers or free
+// resources stay unused.
 import * as random from "../../random/index";
 import * as planner from "../plan";
 import * as types from "../types";
 import * as fixtures from "./fixtures";
-import * as plainPlan from "./referencePlan";
+import * as referencePlan from "./referencePlan";
 
 const SEEDS = 400;
 const SERVICES = ["booking", "other"];
@@ -55,19 +55,19 @@
 
 function createGroups(tasks: readonly Task[], source: random.Random): types.RunningGroup[] {
     const groups: types.RunningGroup[] = [];
-    for (let at = 0; at < tasks.length;) {
+    for (let index = 0; index < tasks.length;) {
         const size = source.nextInt(5) === 0 ? 1 + source.nextInt(4) : 1;
         groups.push({
-            key: `group-${at}`,
+            key: `group-${index}`,
             tier: source.pick([types.Claim.None, types.Claim.None, types.Claim.Urgent, types.Claim.Lasting]),
-            members: tasks.slice(at, at + size),
+            members: tasks.slice(index, index + size),
             lossCoreSeconds: 0,
             costCoreSeconds: source.nextInt(4) === 0 ? 0 : 1_000 * source.nextFloat(),
             disruptionBudget: source.nextInt(5) === 0
                 ? { step: `s${source.nextInt(2)}`, allowedDisruptions: source.nextInt(3) }
                 : undefined,
         });
-        at += size;
+        index += size;
     }
     return groups;
 }
@@ -105,7 +105,7 @@
     };
 }
 
-test("the index changes nothing of what is decided", () => {
+test("the index of workers does not change the plan", () => {
     let starts = 0;
     let stops = 0;
     for (let seed = 0; seed < SEEDS; seed++) {
@@ -114,11 +114,11 @@
         const groups = createGroups(tasks, source);
         const input = { now: 0, workers, units: createUnits(workers, source), getRunningGroups: () => groups };
         const plan = describePlan(planner.plan(input));
-        expect({ seed, ...plan }).toEqual({ seed, ...describePlan(plainPlan.planByReference(input)) });
+        expect({ seed, ...plan }).toEqual({ seed, ...describePlan(referencePlan.planByReference(input)) });
         starts += plan.starts.length;
         stops += plan.stops.length;
     }
-    // The sites are full enough that both happen all the time.
+    // Ensures that the random sites are full enough for both to happen often.
     expect(starts).toBeGreaterThan(SEEDS);
     expect(stops).toBeGreaterThan(SEEDS);
 });
--- a/src/decisions/__tests__/plan.test.ts
+++ b/src/decisions/__tests__/plan.test.ts
@@ -11,15 +11,16 @@
     readonly workers: readonly types.PlaceableWorker[];
     readonly units: readonly types.WaitingUnit[];
     readonly groups?: readonly types.RunningGroup[];
-    /** Workers by unit that starts. */
+    /** Expected workers by key of each unit that starts. */
     readonly starts: Readonly<Record<string, readonly string[]>>;
+    /** Expected keys of the groups that are stopped. */
     readonly stops?: readonly string[];
 }
 
 /**
- * Symptom: a job waits for seconds beside idle workers, at worst to the end of the day. Sequence: the rack with its
- * data, or each rack that could hold its gang, is full, and the rest of the site is free. Cause: the wait for a better
- * place knew only how long the task takes.
+ * Guards against jobs that wait for seconds or hours although workers are idle: the rack of the data, or each rack that
+ * could hold the gang, is full while the rest of the site is free. Happens if the wait for a better placement depends
+ * only on the expected duration of the task.
  */
 function createPatienceCases(): Case[] {
     const patient = { expectedDurationMs: 20_000 };
@@ -38,32 +39,32 @@
     const busy = [...nearFull.slice(0, 2), fixtures.createWorker("r2w2", { rack: "r2", used: FULL })];
     return [
         {
-            name: "beside idle workers a task waits a while for the rack of its data",
+            name: "while workers are idle, a task waits briefly for the rack of its data",
             workers: nearFull,
             units: [fixtures.createUnit("t", { ...near, waitedMs: 1_900 })],
             starts: {},
         },
         {
-            name: "beside idle workers a task does not wait for that rack any longer",
+            name: "while workers are idle, a task waits for the rack of its data for at most 2 s",
             workers: nearFull,
             units: [fixtures.createUnit("t", { ...near, waitedMs: 2_000 })],
             starts: { t: ["r2w1"] },
         },
         {
-            name: "on a busy site it waits longer, since far from its data it takes three times as long",
+            name: "on a busy site, a task waits longer for the rack of its data",
             workers: busy,
             units: [fixtures.createUnit("t", { ...near, waitedMs: 2_000 })],
             starts: {},
         },
         {
-            name: "beside idle workers a gang does not wait any longer for a rack",
+            name: "while workers are idle, a same-rack gang waits for a single rack for at most 2 s",
             workers: idle,
             units: [fixtures.createUnit("g", { ...gang, waitedMs: 2_000 })],
             starts: { g: ["r1w2", "r2w1"] },
         },
         ...createDataCases(nearFull, busy),
         {
-            name: "a gang waits for a rack a while",
+            name: "while workers are idle, a same-rack gang waits briefly for a single rack",
             workers: idle,
             units: [fixtures.createUnit("g", { ...gang, waitedMs: 1_900 })],
             starts: {},
@@ -72,9 +73,9 @@
 }
 
 /**
- * Symptom: a gang takes three times as long as it could. Sequence: its data lies in one rack, and there is more room, or
- * room that fits better, in another. Cause: of a gang's members none was placed by its data but those of same-rack gangs,
- * and these did not wait for its rack.
+ * Guards against gangs that take three times as long as needed, since they are placed in a rack with more free or
+ * better-fitting resources than the rack of their data. Happens if the data is considered only for same-rack gangs, and
+ * even these do not wait for its rack.
  */
 function createDataCases(
     nearFull: readonly types.PlaceableWorker[],
@@ -90,46 +91,46 @@
     const wide = { ...data, dataRack: "r1", needs: HALF_WORKER };
     return [
         {
-            name: "a gang goes to the rack of its data, also where another rack's workers are fuller",
+            name: "a gang goes to the rack of its data even if workers in another rack are fuller",
             workers: fuller,
             units: [fixtures.createUnit("g", data)],
             starts: { g: ["r2w1", "r2w1"] },
         },
         {
-            name: "a gang waits a while for the rack of its data",
+            name: "while workers are idle, a gang waits briefly for the rack of its data",
             workers: nearFull,
             units: [fixtures.createUnit("g", { ...wide, waitedMs: 1_900 })],
             starts: {},
         },
         {
-            name: "beside idle workers a gang does not wait any longer for that rack",
+            name: "while workers are idle, a gang waits for the rack of its data for at most 2 s",
             workers: nearFull,
             units: [fixtures.createUnit("g", { ...wide, waitedMs: 2_000 })],
             starts: { g: ["r2w1", "r2w1"] },
         },
         {
-            name: "a same-rack gang waits for the rack of its data as well",
+            name: "a same-rack gang waits for the rack of its data",
             workers: busy,
             units: [fixtures.createUnit("g", { ...wide, sameRack: true, waitedMs: 2_000 })],
             starts: {},
         },
         {
-            name: "a gang that the rack of its data cannot hold goes elsewhere at once",
+            name: "a gang that the rack of its data cannot hold is placed elsewhere at once",
             workers: nearFull,
             units: [fixtures.createUnit("g", { ...wide, count: 3 })],
             starts: { g: ["r2w1", "r2w1", "r2w2"] },
         },
         ...([[1_400, {}], [1_500, { g: ["r2w1", "r2w1"] }]] as const).map(([waitedMs, starts]) => ({
-            // Symptom: work within a guarantee begins seconds too late, beside free workers. Sequence: the rack of its
-            // data is full of other guaranteed work. Cause: it waited for that rack as long as any other gang.
-            name: `a gang within a guarantee waits 1.5 s for the rack of its data, not longer: ${waitedMs} ms`,
+            // Guards against guaranteed work that starts seconds late although workers are free: it waits as long as any
+            // other gang for the rack of its data, which is full of other guaranteed work.
+            name: `a guaranteed gang waits for the rack of its data for at most 1.5 s: ${waitedMs} ms`,
             workers: busy,
             units: [fixtures.createUnit("g", { ...wide, waitedMs, tier: types.Claim.Guaranteed })],
             groups: [fixtures.createGroup("other", "r1w1", { tier: types.Claim.Guaranteed })],
             starts,
         })),
         {
-            name: "an urgent gang stops work in the rack of its data, though stops elsewhere cost less",
+            name: "an urgent gang preempts work in the rack of its data although victims elsewhere cost less",
             workers: [
                 fixtures.createWorker("r1w1", { used: FULL }),
                 fixtures.createWorker("r2w1", { rack: "r2", used: FULL }),
@@ -155,9 +156,9 @@
         starts: { t: ["half"] },
     },
     {
-        // Symptom: more tasks of a step run on one worker than it allows. Sequence: several of them start in one
-        // pass. Cause: the pass counted only the tasks that were there before it.
-        name: "the bound of a step's tasks on a worker counts what the same pass places",
+        // Guards against exceeding `maxPerWorker` when several tasks of a step start in one pass, which happens if the
+        // pass counts only the tasks that ran before it.
+        name: "`maxPerWorker` includes tasks that the same pass places",
         workers: [fixtures.createWorker("w1"), fixtures.createWorker("w2")],
         units: ["a", "b", "c"].map(key =>
             fixtures.createUnit(key, { step: "s", equivalenceClass: "s", maxPerWorker: 1 })
@@ -165,19 +166,19 @@
         starts: { a: ["w1"], b: ["w2"] },
     },
     {
-        name: "the bound counts tasks that run already",
+        name: "`maxPerWorker` includes tasks that already run",
         workers: [fixtures.createWorker("w1"), fixtures.createWorker("w2")],
         units: [fixtures.createUnit("a", { maxPerWorker: 1, stepTasksByWorker: new Map([["w1", 1]]) })],
         starts: { a: ["w2"] },
     },
     {
-        name: "a gang starts whole or not at all",
+        name: "a gang starts only as a whole",
         workers: [fixtures.createWorker("w1"), fixtures.createWorker("w2")],
         units: [fixtures.createUnit("g", { gang: true, count: 3, needs: WHOLE_WORKER })],
         starts: {},
     },
     {
-        name: "a same-rack gang does not spread while its rack could take it later",
+        name: "a same-rack gang is not spread while a rack could hold it later",
         workers: [
             fixtures.createWorker("r1w1"),
             fixtures.createWorker("r1w2", { used: FULL }),
@@ -187,13 +188,13 @@
         starts: {},
     },
     {
-        name: "a same-rack gang that no rack can ever hold spreads",
+        name: "a same-rack gang that no rack can ever hold is spread",
         workers: [fixtures.createWorker("r1w1"), fixtures.createWorker("r2w1", { rack: "r2" })],
         units: [fixtures.createUnit("g", { gang: true, sameRack: true, count: 2, needs: WHOLE_WORKER })],
         starts: { g: ["r1w1", "r2w1"] },
     },
     {
-        name: "urgent work stops the least work that makes room",
+        name: "urgent work preempts the cheapest sufficient victim",
         workers: [fixtures.createWorker("w1", { used: FULL }), fixtures.createWorker("w2", { used: FULL })],
         units: [fixtures.createUnit("u", { tier: types.Claim.Urgent })],
         groups: [
@@ -204,9 +205,9 @@
         stops: ["cheap"],
     },
     {
-        // Symptom: work is stopped on workers on which the urgent unit is never placed. Sequence: the cheapest room is
-        // chosen first, then a worker that holds the whole unit. Cause: what was chosen before stayed chosen.
-        name: "what is not needed once all victims are chosen goes on",
+        // Guards against stopping work on workers on which the urgent unit is never placed: the cheapest victim is chosen
+        // first, then one whose worker holds the whole unit, and the first victim is not dropped.
+        name: "victims that are not needed once all are chosen keep running",
         workers: [fixtures.createWorker("w1", { used: FULL }), fixtures.createWorker("w2", { used: FULL })],
         units: [fixtures.createUnit("u", { tier: types.Claim.Urgent, gang: true, count: 8 })],
         groups: [
@@ -220,7 +221,7 @@
         stops: ["whole"],
     },
     {
-        name: "room that is being freed is waited for, and nothing more is stopped",
+        name: "an urgent unit waits for resources that are being released, without further stops",
         workers: [fixtures.createWorker("w1", {
             used: FULL,
             releasing: { cpuMillis: 1_000, memoryMb: 1_024, accelerators: 1 },
@@ -231,7 +232,7 @@
     },
     ...createPatienceCases(),
     {
-        name: "work within a guarantee is stopped for nobody, work of lower priority stops nothing",
+        name: "guaranteed work is never preempted, and work without a tier preempts nothing",
         workers: [fixtures.createWorker("w1", { used: FULL })],
         units: [
             fixtures.createUnit("u", { tier: types.Claim.Guaranteed }),
@@ -241,7 +242,7 @@
         starts: {},
     },
     {
-        name: "a lasting task stops urgent work beyond a guarantee, and nothing stops a lasting one but a guarantee",
+        name: "a lasting task preempts urgent work and is preempted only by guaranteed work",
         workers: [fixtures.createWorker("w1", { used: FULL }), fixtures.createWorker("w2", { used: FULL })],
         units: [
             fixtures.createUnit("lasting", { tier: types.Claim.Lasting }),
@@ -255,9 +256,9 @@
         stops: ["u"],
     },
     {
-        // Symptom: no task of a lasting step is at work. Sequence: a guaranteed gang needs the room of two of them.
-        // Cause: each was the cheapest victim.
-        name: "of a lasting step no more tasks are stopped than it may miss, also for two units",
+        // Guards against stopping all tasks of a lasting step: a guaranteed gang needs the resources of two of them, and
+        // each is the cheapest victim.
+        name: "no more tasks of a lasting step are stopped than its disruption budget allows, also for two units",
         workers: ["w1", "w2", "w3"].map(id => fixtures.createWorker(id, { used: FULL })),
         units: [
             fixtures.createUnit("gang", { tier: types.Claim.Guaranteed, gang: true, count: 2 }),
@@ -277,7 +278,7 @@
         stops: ["costly", "l1"],
     },
     {
-        name: "what serves and what fills are kept apart while there is a choice",
+        name: "a latency-sensitive task avoids workers with best-effort tasks if another worker fits",
         workers: [
             fixtures.createWorker("filling", {
                 bestEffortTasks: 1,
@@ -289,7 +290,7 @@
         starts: { s: ["empty"] },
     },
     {
-        name: "a task that may take its worker down goes to a worker without tasks, and nothing joins it",
+        name: "a task that may crash its worker goes to an idle worker, and no other task is started there",
         workers: [
             fixtures.createWorker("settled", {
                 occupancy: types.Company.Stable,
@@ -304,7 +305,7 @@
         starts: { s: ["idle"], a: ["settled"], b: ["settled"] },
     },
     {
-        name: "a task that may take its worker down joins only tasks that have settled in",
+        name: "a task that may crash its worker avoids workers with recent starts",
         workers: [
             fixtures.createWorker("unsettled", { occupancy: types.Company.RecentStart }),
             fixtures.createWorker("settled", { occupancy: types.Company.Stable }),
@@ -313,8 +314,9 @@
         starts: { s: ["settled"] },
     },
     {
-        // A task that needs no accelerator was started on a worker whose accelerators had become fewer than were taken.
-        name: "nothing starts on a worker that is over its capacity, whatever it needs",
+        // Guards against starting a task that needs no accelerator on a worker that has fewer accelerators than its tasks
+        // use, since its capacity has shrunk.
+        name: "no task starts on a worker that exceeds its capacity in any dimension",
         workers: [fixtures.createWorker("shrunk", {
             capacity: { ...FULL, accelerators: 4 },
             used: { cpuMillis: 0, memoryMb: 0, accelerators: 6 },
@@ -323,7 +325,7 @@
         starts: {},
     },
     {
-        name: "only workers with the label, the service and a ticket, and without an earlier failure",
+        name: "a unit starts only on a worker that has its service and label, is allowed and is not excluded",
         workers: [
             fixtures.createWorker("otherService", { service: "other" }),
             fixtures.createWorker("noLabel", { labels: ["b", "r1"] }),
--- a/src/decisions/__tests__/referencePlace.ts
+++ b/src/decisions/__tests__/referencePlace.ts
@@ -1,65 +1,64 @@
-/** Where a unit fits, looking at every worker: the plain counterpart of `place`. */
-import * as rooms from "../resources";
+/** Reference implementation of `place`, which scans every worker. */
+import * as resources from "../resources";
 import * as types from "../types";
 
-/** Room that a placement may use on a worker. */
-export type RoomOf = (worker: types.PlaceableWorker) => rooms.MutableResources;
+/** Resources that a placement may use on a worker. */
+export type GetResources = (worker: types.PlaceableWorker) => resources.MutableResources;
 
-/**
- * A same-rack gang that no rack can take now waits this long for one before it is spread. Spread over racks its
- * tasks take three times as long, so a wait of about one run of the gang is the better bargain; beyond it the gang
- * is late either way.
- */
-const SPREAD_PATIENCE = 1;
-/** A task waits for room in the rack of its data for up to this share of its expected duration. */
-const DATA_PATIENCE = 0.5;
+/** Share of its expected duration for which a same-rack gang waits for a rack before it is spread. */
+const SPREAD_MAX_WAIT_SHARE = 1;
+/** Share of its expected duration for which a task waits for free resources in the rack of its data. */
+const DATA_MAX_WAIT_SHARE = 0.5;
 
-/** One worker for each member, or `undefined` where the unit does not fit. */
+/** One worker for each member, or `undefined` if the unit does not fit or is to wait for a better placement. */
 export function place(
     unit: types.WaitingUnit,
     workers: readonly types.PlaceableWorker[],
-    roomOf: RoomOf,
+    getResources: GetResources,
 ): string[] | undefined {
-    const ofService = workers.filter(worker => worker.service === unit.service);
-    const candidates = workers.filter(worker => mayRun(unit, worker));
+    const workersOfService = workers.filter(worker => worker.service === unit.service);
+    const candidates = workers.filter(worker => isEligible(unit, worker));
     if (unit.count === 1) {
-        return placeOne(unit, candidates, ofService, roomOf);
+        return placeOne(unit, candidates, workersOfService, getResources);
     }
-    if (dataRackCouldHold(unit, ofService)) {
-        const near = pack(unit, candidates.filter(worker => worker.rack === unit.dataRack), roomOf);
-        if (near || unit.waitedMs < getPatienceMs(unit, SPREAD_PATIENCE, ofService)) {
+    if (dataRackFitsWhenEmpty(unit, workersOfService)) {
+        const near = pack(unit, candidates.filter(worker => worker.rack === unit.dataRack), getResources);
+        if (near || unit.waitedMs < getMaxWaitMs(unit, SPREAD_MAX_WAIT_SHARE, workersOfService)) {
             return near;
         }
     }
     if (!unit.sameRack) {
-        return pack(unit, candidates, roomOf);
+        return pack(unit, candidates, getResources);
     }
-    return placeInOneRack(unit, ofService, roomOf)
-        ?? (maySpread(unit, ofService) ? pack(unit, candidates, roomOf) : undefined);
+    return placeInOneRack(unit, workersOfService, getResources)
+        ?? (maySpread(unit, workersOfService) ? pack(unit, candidates, getResources) : undefined);
 }
 
-/** Whether the rack of the unit's data would hold it with nothing else there. */
-export function dataRackCouldHold(unit: types.WaitingUnit, ofService: readonly types.PlaceableWorker[]): boolean {
-    const most = ofService.filter(worker => worker.rack === unit.dataRack)
-        .reduce((sum, worker) => sum + countMembers(unit, worker, rooms.copyResources(worker.capacity)), 0);
-    return most >= unit.count;
+/** Whether the rack of the unit's data could hold it if the rack were empty. */
+export function dataRackFitsWhenEmpty(
+    unit: types.WaitingUnit,
+    workersOfService: readonly types.PlaceableWorker[],
+): boolean {
+    const capacity = workersOfService.filter(worker => worker.rack === unit.dataRack)
+        .reduce((sum, worker) => sum + countFittingMembers(unit, worker, resources.copyResources(worker.capacity)), 0);
+    return capacity >= unit.count;
 }
 
-/** Whether the worker may run the unit at all, whatever room it has. */
-export function mayRun(unit: types.WaitingUnit, worker: types.PlaceableWorker): boolean {
+/** Whether the worker meets the placement constraints of the unit, regardless of free resources. */
+export function isEligible(unit: types.WaitingUnit, worker: types.PlaceableWorker): boolean {
     return worker.service === unit.service
         && (unit.requiredLabel === undefined || worker.labels.includes(unit.requiredLabel))
         && !unit.excludedWorkerIds.has(worker.id)
         && (unit.allowedWorkerIds === undefined || unit.allowedWorkerIds.has(worker.id));
 }
 
-/** How many members of the unit the worker takes within that room. */
-export function countMembers(
+/** Number of members of the unit that fit in `available` on the worker, within `maxPerWorker`. */
+export function countFittingMembers(
     unit: types.WaitingUnit,
     worker: types.PlaceableWorker,
-    room: rooms.MutableResources,
+    available: resources.MutableResources,
 ): number {
-    const fits = Math.min(unit.count, rooms.countFits(room, unit.needs));
+    const fits = Math.min(unit.count, resources.countFits(available, unit.needs));
     if (unit.maxPerWorker === 0) {
         return fits;
     }
@@ -67,7 +66,7 @@
     return Math.max(0, Math.min(fits, unit.maxPerWorker - present));
 }
 
-/** Workers of each rack, in the order of their first worker. */
+/** Workers by rack; racks are in the order of their first worker. */
 function groupByRack(workers: readonly types.PlaceableWorker[]): Map<string, types.PlaceableWorker[]> {
     const racks = new Map<string, types.PlaceableWorker[]>();
     for (const worker of workers) {
@@ -82,65 +81,65 @@
     return racks;
 }
 
-/** The fullest worker that fits, so that whole workers stay free for what needs them. */
+/** Best fit: the fullest worker that fits, so that empty workers remain for units that need a whole one. */
 function placeOne(
     unit: types.WaitingUnit,
     candidates: readonly types.PlaceableWorker[],
-    allOfService: readonly types.PlaceableWorker[],
-    roomOf: RoomOf,
+    workersOfService: readonly types.PlaceableWorker[],
+    getResources: GetResources,
 ): string[] | undefined {
-    const fitting = candidates.filter(worker => countMembers(unit, worker, roomOf(worker)) > 0);
+    const fitting = candidates.filter(worker => countFittingMembers(unit, worker, getResources(worker)) > 0);
     const near = unit.dataRack === undefined ? fitting : fitting.filter(worker => worker.rack === unit.dataRack);
-    const mustBeNear = unit.dataRack !== undefined
+    const waitsForDataRack = unit.dataRack !== undefined
         && near.length === 0
-        && unit.waitedMs < getPatienceMs(unit, DATA_PATIENCE, allOfService)
+        && unit.waitedMs < getMaxWaitMs(unit, DATA_MAX_WAIT_SHARE, workersOfService)
         && candidates.some(worker => worker.rack === unit.dataRack);
-    if (mustBeNear) {
+    if (waitsForDataRack) {
         return undefined;
     }
-    const best = findLeast(
+    const best = findMinimum(
         near.length > 0 ? near : fitting,
-        worker => getLeftover(roomOf(worker)) + getCompany(unit, worker),
+        worker => getFreeScore(getResources(worker)) + getInterferencePenalty(unit, worker),
     );
     return best && [best.id];
 }
 
-/** The rack that keeps the least room afterwards, so that larger racks' room stays whole. */
+/** Best fit by rack: the fullest rack that fits, so that racks with more free resources remain for larger gangs. */
 function placeInOneRack(
     unit: types.WaitingUnit,
-    allOfService: readonly types.PlaceableWorker[],
-    roomOf: RoomOf,
+    workersOfService: readonly types.PlaceableWorker[],
+    getResources: GetResources,
 ): string[] | undefined {
-    let best: { workerIds: string[]; leftover: number; } | undefined;
-    for (const [rack, all] of groupByRack(allOfService)) {
-        const workers = all.filter(worker => mayRun(unit, worker));
-        const workerIds = pack(unit, workers, roomOf);
+    let best: { workerIds: string[]; score: number; } | undefined;
+    for (const [rack, all] of groupByRack(workersOfService)) {
+        const workers = all.filter(worker => isEligible(unit, worker));
+        const workerIds = pack(unit, workers, getResources);
         if (!workerIds) {
             continue;
         }
-        const far = unit.dataRack !== undefined && unit.dataRack !== rack;
-        const leftover = workers.reduce((sum, worker) => sum + getLeftover(roomOf(worker)), 0)
-            + (far ? FAR_PENALTY : 0);
-        if (!best || leftover < best.leftover) {
-            best = { workerIds, leftover };
+        const isRemote = unit.dataRack !== undefined && unit.dataRack !== rack;
+        const score = workers.reduce((sum, worker) => sum + getFreeScore(getResources(worker)), 0)
+            + (isRemote ? REMOTE_DATA_PENALTY : 0);
+        if (!best || score < best.score) {
+            best = { workerIds, score };
         }
     }
     return best?.workerIds;
 }
 
-/** Larger than the room of any rack: a rack with the data goes first, whatever room it has. */
-const FAR_PENALTY = 1e6;
+/** Exceeds the free score of any rack, so that the rack of the data is preferred however much of it is free. */
+const REMOTE_DATA_PENALTY = 1e6;
 
 /** Fills the fullest workers first. */
 function pack(
     unit: types.WaitingUnit,
     workers: readonly types.PlaceableWorker[],
-    roomOf: RoomOf,
+    getResources: GetResources,
 ): string[] | undefined {
     const hosts = workers
-        .map(worker => ({ worker, fits: countMembers(unit, worker, roomOf(worker)) }))
+        .map(worker => ({ worker, fits: countFittingMembers(unit, worker, getResources(worker)) }))
         .filter(host => host.fits > 0)
-        .sort((a, b) => getLeftover(roomOf(a.worker)) - getLeftover(roomOf(b.worker)));
+        .sort((a, b) => getFreeScore(getResources(a.worker)) - getFreeScore(getResources(b.worker)));
     const workerIds: string[] = [];
     for (const host of hosts) {
         for (let member = 0; member < host.fits && workerIds.length < unit.count; member++) {
@@ -150,65 +149,65 @@
     return workerIds.length === unit.count ? workerIds : undefined;
 }
 
-const IDLE_PATIENCE_MS = 2_000;
-const GUARANTEED_PATIENCE_MS = 1_500;
+const IDLE_MAX_WAIT_MS = 2_000;
+const GUARANTEED_MAX_WAIT_MS = 1_500;
 
-function getPatienceMs(unit: types.WaitingUnit, share: number, workers: readonly types.PlaceableWorker[]): number {
-    const kinds = ["cpuMillis", "accelerators"] as const;
-    const mostlyFree = kinds.every(kind => {
-        const used = workers.reduce((sum, worker) => sum + worker.used[kind], 0);
-        return 2 * used < workers.reduce((sum, worker) => sum + worker.capacity[kind], 0);
+function getMaxWaitMs(unit: types.WaitingUnit, share: number, workers: readonly types.PlaceableWorker[]): number {
+    const dimensions = ["cpuMillis", "accelerators"] as const;
+    const mostlyFree = dimensions.every(dimension => {
+        const used = workers.reduce((sum, worker) => sum + worker.used[dimension], 0);
+        return 2 * used < workers.reduce((sum, worker) => sum + worker.capacity[dimension], 0);
     });
-    const bound = unit.tier === types.Claim.Guaranteed ? GUARANTEED_PATIENCE_MS : Infinity;
-    return Math.min(mostlyFree ? IDLE_PATIENCE_MS : Infinity, bound, unit.expectedDurationMs * share);
+    const bound = unit.tier === types.Claim.Guaranteed ? GUARANTEED_MAX_WAIT_MS : Infinity;
+    return Math.min(mostlyFree ? IDLE_MAX_WAIT_MS : Infinity, bound, unit.expectedDurationMs * share);
 }
 
 function maySpread(unit: types.WaitingUnit, workers: readonly types.PlaceableWorker[]): boolean {
-    if (unit.waitedMs >= getPatienceMs(unit, SPREAD_PATIENCE, workers)) {
+    if (unit.waitedMs >= getMaxWaitMs(unit, SPREAD_MAX_WAIT_SHARE, workers)) {
         return true;
     }
     for (const rackWorkers of groupByRack(workers).values()) {
-        const most = rackWorkers.reduce(
-            (sum, worker) => sum + countMembers(unit, worker, rooms.copyResources(worker.capacity)),
+        const capacity = rackWorkers.reduce(
+            (sum, worker) => sum + countFittingMembers(unit, worker, resources.copyResources(worker.capacity)),
             0,
         );
-        if (most >= unit.count) {
+        if (capacity >= unit.count) {
             return false;
         }
     }
     return true;
 }
 
-/** Serving and filling tasks are kept apart as long as there is a choice: fillers slow down what serves. */
-function getCompany(unit: types.WaitingUnit, worker: types.PlaceableWorker): number {
+/** Keeps best-effort tasks away from latency-sensitive ones, which they slow down, as long as another worker fits. */
+function getInterferencePenalty(unit: types.WaitingUnit, worker: types.PlaceableWorker): number {
     if (unit.latencySensitive) {
-        return worker.bestEffortTasks * COMPANY_PENALTY;
+        return worker.bestEffortTasks * INTERFERENCE_PENALTY;
     }
     if (unit.bestEffort) {
-        return worker.latencySensitiveTasks * COMPANY_PENALTY + worker.bestEffortTasks;
+        return worker.latencySensitiveTasks * INTERFERENCE_PENALTY + worker.bestEffortTasks;
     }
     return 0;
 }
 
-/** More than the accelerators of any worker. */
-const COMPANY_PENALTY = 1_000;
+/** Exceeds the number of accelerators of any worker. */
+const INTERFERENCE_PENALTY = 1_000;
 
-/** Accelerators first, since they bind; processors break ties. */
-function getLeftover(room: rooms.MutableResources): number {
-    return room.accelerators + room.cpuMillis / CPU_TIE_SCALE;
+/** Free resources as one number. Accelerators dominate, as the scarcest resource; cores break ties. */
+function getFreeScore(free: resources.MutableResources): number {
+    return free.accelerators + free.cpuMillis / CPU_TIE_SCALE;
 }
 
-/** Above any worker's thousandths of cores, so that processors never outweigh an accelerator. */
+/** Exceeds the millicores of any worker, so that cores never outweigh an accelerator. */
 const CPU_TIE_SCALE = 1e6;
 
-function findLeast<T>(items: readonly T[], measure: (item: T) => number): T | undefined {
+function findMinimum<T>(items: readonly T[], measure: (item: T) => number): T | undefined {
     let best: T | undefined;
-    let least = Infinity;
+    let minimum = Infinity;
     for (const item of items) {
         const value = measure(item);
-        if (value < least) {
+        if (value < minimum) {
             best = item;
-            least = value;
+            minimum = value;
         }
     }
     return best;
--- a/src/decisions/__tests__/referencePlan.ts
+++ b/src/decisions/__tests__/referencePlan.ts
@@ -1,49 +1,49 @@
 /**
- * The same decisions as `plan`, without any index: it looks at every worker, rack and group for every unit.
- * Slow, and easy to check by reading; the index must not change what is decided.
+ * Reference implementation of `plan` without an index or cache: it scans every worker, rack and group for every unit.
+ * Slow but easy to verify by reading; `plan` must make the same decisions.
  */
-import * as protection from "../disruptionBudget";
-import * as rooms from "../resources";
+import * as disruptionBudgets from "../disruptionBudget";
+import * as resources from "../resources";
 import * as types from "../types";
-import * as plainPlace from "./referencePlace";
-import * as plainPreempt from "./referencePreempt";
+import * as referencePlace from "./referencePlace";
+import * as referencePreempt from "./referencePreempt";
 
 export function planByReference(input: types.PlanInput): types.Plan {
-    const free = new Map<string, rooms.MutableResources>();
-    /** Free now or within the stop time; what is promised to an earlier unit is taken off. */
-    const soon = new Map<string, rooms.MutableResources>();
+    const free = new Map<string, resources.MutableResources>();
+    /** Free now or within the stop time, less what is reserved for earlier units. */
+    const futureFree = new Map<string, resources.MutableResources>();
     for (const worker of input.workers) {
-        const room = rooms.copyResources(worker.capacity);
-        rooms.subtractResources(room, worker.used);
-        free.set(worker.id, room);
-        const later = rooms.copyResources(room);
-        rooms.addResources(later, worker.releasing);
-        soon.set(worker.id, later);
+        const available = resources.copyResources(worker.capacity);
+        resources.subtractResources(available, worker.used);
+        free.set(worker.id, available);
+        const availableLater = resources.copyResources(available);
+        resources.addResources(availableLater, worker.releasing);
+        futureFree.set(worker.id, availableLater);
     }
     const starts: types.PlannedStart[] = [];
     const stops: types.PlannedStop[] = [];
     const stopped = new Set<types.RunningGroup>();
-    const freeOf: plainPlace.RoomOf = worker => free.get(worker.id)!;
-    const soonOf: plainPlace.RoomOf = worker => soon.get(worker.id)!;
+    const getFree: referencePlace.GetResources = worker => free.get(worker.id)!;
+    const getFutureFree: referencePlace.GetResources = worker => futureFree.get(worker.id)!;
 
     const reserve = (unit: types.WaitingUnit, workerIds: readonly string[]) => {
         for (const workerId of workerIds) {
-            rooms.subtractResources(soon.get(workerId)!, unit.needs);
-            rooms.capResources(free.get(workerId)!, soon.get(workerId)!);
+            resources.subtractResources(futureFree.get(workerId)!, unit.needs);
+            resources.capResources(free.get(workerId)!, futureFree.get(workerId)!);
         }
     };
-    const protector = protection.createDisruptionBudgets();
-    /** Without a choice that the protected steps allow, the excess victims are left out, until one does or none is left. */
+    const budgets = disruptionBudgets.createDisruptionBudgets();
+    /** Excludes victims that exceed a disruption budget and chooses again, until the budgets allow the choice. */
     const choosePreemption = (unit: types.WaitingUnit) => {
-        const spared = new Set(stopped);
+        const excluded = new Set(stopped);
         for (;;) {
-            const running = input.getRunningGroups().filter(group => !spared.has(group) && protector.canStop(group));
-            const choice = plainPreempt.preempt(unit, input.workers, running, soonOf);
-            const excess = choice ? protector.findOverBudget(choice.victims) : [];
-            if (!choice || excess.length === 0) {
+            const running = input.getRunningGroups().filter(group => !excluded.has(group) && budgets.canStop(group));
+            const choice = referencePreempt.preempt(unit, input.workers, running, getFutureFree);
+            const overBudget = choice ? budgets.findOverBudget(choice.victims) : [];
+            if (!choice || overBudget.length === 0) {
                 return choice;
             }
-            excess.forEach(group => spared.add(group));
+            overBudget.forEach(group => excluded.add(group));
         }
     };
     const tryPreempt = (unit: types.WaitingUnit): boolean => {
@@ -51,14 +51,14 @@
         if (!choice) {
             return false;
         }
-        protector.recordStops(choice.victims);
+        budgets.recordStops(choice.victims);
         for (const victim of choice.victims) {
             stopped.add(victim);
             stops.push({ group: victim, forUnit: unit.key, tier: unit.tier });
             for (const member of victim.members) {
-                const later = soon.get(member.workerId);
+                const later = futureFree.get(member.workerId);
                 if (later) {
-                    rooms.addResources(later, member.needs);
+                    resources.addResources(later, member.needs);
                 }
             }
         }
@@ -66,54 +66,56 @@
         return true;
     };
 
-    const begun = new Set<string>();
-    const avoid = (unit: types.WaitingUnit, company: types.Company): types.WaitingUnit => {
-        const near = input.workers.filter(worker => worker.occupancy >= company || begun.has(worker.id));
+    const startedWorkerIds = new Set<string>();
+    const exclude = (unit: types.WaitingUnit, occupancy: types.Company): types.WaitingUnit => {
+        const excluded = input.workers.filter(worker =>
+            worker.occupancy >= occupancy || startedWorkerIds.has(worker.id)
+        );
         return unit.mayCrashWorker
-            ? { ...unit, excludedWorkerIds: new Set([...unit.excludedWorkerIds, ...near.map(worker => worker.id)]) }
+            ? { ...unit, excludedWorkerIds: new Set([...unit.excludedWorkerIds, ...excluded.map(worker => worker.id)]) }
             : unit;
     };
-    const hopeless = new Set<string>();
+    const unplaceableClasses = new Set<string>();
     const stepTasks = createStepTasks();
     for (const waiting of input.units) {
-        if (hopeless.has(waiting.equivalenceClass)) {
+        if (unplaceableClasses.has(waiting.equivalenceClass)) {
             continue;
         }
-        const unit = avoid(stepTasks.withPlaced(waiting), types.Company.RecentStart);
-        const now = plainPlace.place(avoid(unit, types.Company.Stable), input.workers, freeOf)
-            ?? plainPlace.place(unit, input.workers, freeOf);
-        if (now) {
-            starts.push({ unit, workerIds: now });
-            stepTasks.add(unit, now);
-            for (const workerId of now) {
-                rooms.subtractResources(free.get(workerId)!, unit.needs);
-                rooms.subtractResources(soon.get(workerId)!, unit.needs);
-                begun.add(workerId);
+        const unit = exclude(stepTasks.withStepTasks(waiting), types.Company.RecentStart);
+        const workerIds = referencePlace.place(exclude(unit, types.Company.Stable), input.workers, getFree)
+            ?? referencePlace.place(unit, input.workers, getFree);
+        if (workerIds) {
+            starts.push({ unit, workerIds: workerIds });
+            stepTasks.add(unit, workerIds);
+            for (const workerId of workerIds) {
+                resources.subtractResources(free.get(workerId)!, unit.needs);
+                resources.subtractResources(futureFree.get(workerId)!, unit.needs);
+                startedWorkerIds.add(workerId);
             }
-            for (const workerId of unit.mayCrashWorker ? now : []) {
+            for (const workerId of unit.mayCrashWorker ? workerIds : []) {
                 free.set(workerId, { cpuMillis: -1, memoryMb: -1, accelerators: -1 });
-                soon.set(workerId, { cpuMillis: -1, memoryMb: -1, accelerators: -1 });
+                futureFree.set(workerId, { cpuMillis: -1, memoryMb: -1, accelerators: -1 });
             }
             continue;
         }
-        const later = plainPlace.place(unit, input.workers, soonOf);
+        const later = referencePlace.place(unit, input.workers, getFutureFree);
         if (later) {
             reserve(unit, later);
             stepTasks.add(unit, later);
             continue;
         }
         if (unit.tier === types.Claim.None || !tryPreempt(unit)) {
-            hopeless.add(unit.equivalenceClass);
+            unplaceableClasses.add(unit.equivalenceClass);
         }
     }
     return { starts, stops };
 }
 
-/** Tasks of each bounded step by worker, with those that this pass has placed or reserved room for. */
+/** Tasks by worker of each step with `maxPerWorker`, including those that this pass places or reserves resources for. */
 function createStepTasks() {
     const byStep = new Map<string, Map<string, number>>();
     return {
-        withPlaced: (unit: types.WaitingUnit): types.WaitingUnit => {
+        withStepTasks: (unit: types.WaitingUnit): types.WaitingUnit => {
             if (unit.maxPerWorker === 0) {
                 return unit;
             }
--- a/src/decisions/__tests__/referencePreempt.ts
+++ b/src/decisions/__tests__/referencePreempt.ts
@@ -1,51 +1,57 @@
-/** Whose work is stopped, looking at every group: the plain counterpart of `preempt` and `sparing`. */
-import * as rooms from "../resources";
+/** Reference implementation of `preempt` and `minimizeVictims`, which scans every group. */
+import * as resources from "../resources";
 import * as types from "../types";
-import * as plainPlace from "./referencePlace";
+import * as referencePlace from "./referencePlace";
 
-/** How many members a worker takes once some groups there are stopped. */
-interface Host {
+/** An option for a worker: the number of members that fit once some groups on it are stopped. */
+interface HostOption {
     readonly worker: types.PlaceableWorker;
     readonly fits: number;
     readonly victims: readonly types.RunningGroup[];
     readonly cost: number;
 }
 
-/** Whether the unit's claim goes before the group's. */
-function mayStop(unit: types.WaitingUnit, group: types.RunningGroup): boolean {
+/** Whether the unit's tier is higher than the group's. */
+function canPreempt(unit: types.WaitingUnit, group: types.RunningGroup): boolean {
     return unit.tier > group.tier;
 }
 
-/** The workers, and the victims whose stop costs least; `undefined` where nothing that may be stopped suffices. */
+/** The workers and the cheapest victims; `undefined` if stopping all permitted groups does not suffice. */
 export function preempt(
     unit: types.WaitingUnit,
     workers: readonly types.PlaceableWorker[],
     groups: readonly types.RunningGroup[],
-    roomOf: plainPlace.RoomOf,
-): Needed | undefined {
-    const candidates = workers.filter(worker => plainPlace.mayRun(unit, worker));
-    const victimsByWorker = groupByWorker(groups.filter(group => mayStop(unit, group)));
-    const hosts = candidates.map(worker => createHosts(unit, worker, victimsByWorker.get(worker.id) ?? [], roomOf));
-    const ofService = workers.filter(worker => worker.service === unit.service);
-    if (plainPlace.dataRackCouldHold(unit, ofService)) {
-        const near = choose(unit, hosts.filter(ways => ways[0]?.worker.rack === unit.dataRack), roomOf);
+    getResources: referencePlace.GetResources,
+): PreemptionChoice | undefined {
+    const candidates = workers.filter(worker => referencePlace.isEligible(unit, worker));
+    const victimsByWorker = groupByWorker(groups.filter(group => canPreempt(unit, group)));
+    const hosts = candidates.map(worker =>
+        listHostOptions(unit, worker, victimsByWorker.get(worker.id) ?? [], getResources)
+    );
+    const workersOfService = workers.filter(worker => worker.service === unit.service);
+    if (referencePlace.dataRackFitsWhenEmpty(unit, workersOfService)) {
+        const near = chooseOptions(
+            unit,
+            hosts.filter(options => options[0]?.worker.rack === unit.dataRack),
+            getResources,
+        );
         if (near) {
             return near;
         }
     }
-    const pools = unit.sameRack ? groupHostsByRack(hosts) : [hosts];
-    let best: Needed | undefined;
+    const pools = unit.sameRack ? groupOptionsByRack(hosts) : [hosts];
+    let best: PreemptionChoice | undefined;
     let leastCost = Infinity;
     for (const pool of pools) {
-        const choice = choose(unit, pool, roomOf);
+        const choice = chooseOptions(unit, pool, getResources);
         if (choice && choice.costCoreSeconds < leastCost) {
             best = choice;
             leastCost = choice.costCoreSeconds;
         }
     }
-    // A guarantee is kept within its bound even where no single rack can take the gang.
+    // A guaranteed gang has to start in time even if no single rack can hold it.
     if (!best && unit.sameRack && unit.tier === types.Claim.Guaranteed) {
-        return choose(unit, hosts, roomOf);
+        return chooseOptions(unit, hosts, getResources);
     }
     return best;
 }
@@ -65,19 +71,19 @@
     return byWorker;
 }
 
-/** The ways to use a worker, from no victim on, each with more members than the one before. */
-function createHosts(
+/** The options for a worker, in order of the number of victims, each for more members than the previous one. */
+function listHostOptions(
     unit: types.WaitingUnit,
     worker: types.PlaceableWorker,
     victims: readonly types.RunningGroup[],
-    roomOf: plainPlace.RoomOf,
-): Host[] {
-    const room = rooms.copyResources(roomOf(worker));
-    const hosts: Host[] = [];
-    let fits = plainPlace.countMembers(unit, worker, room);
+    getResources: referencePlace.GetResources,
+): HostOption[] {
+    const available = resources.copyResources(getResources(worker));
+    const options: HostOption[] = [];
+    let fits = referencePlace.countFittingMembers(unit, worker, available);
     let cost = 0;
     if (fits > 0) {
-        hosts.push({ worker, fits, victims: [], cost });
+        options.push({ worker, fits, victims: [], cost });
     }
     const stopped: types.RunningGroup[] = [];
     for (const victim of victims) {
@@ -86,109 +92,112 @@
         }
         for (const member of victim.members) {
             if (member.workerId === worker.id) {
-                rooms.addResources(room, member.needs);
+                resources.addResources(available, member.needs);
             }
         }
         stopped.push(victim);
         cost += victim.costCoreSeconds;
-        const more = plainPlace.countMembers(unit, worker, room);
+        const more = referencePlace.countFittingMembers(unit, worker, available);
         if (more > fits) {
             fits = more;
-            hosts.push({ worker, fits, victims: [...stopped], cost });
+            options.push({ worker, fits, victims: [...stopped], cost });
         }
     }
-    return hosts;
+    return options;
 }
 
-function groupHostsByRack(hosts: ReadonlyArray<readonly Host[]>): Host[][][] {
-    const racks = new Map<string, Host[][]>();
-    for (const ways of hosts) {
-        const rack = ways[0]?.worker.rack;
+function groupOptionsByRack(hosts: ReadonlyArray<readonly HostOption[]>): HostOption[][][] {
+    const racks = new Map<string, HostOption[][]>();
+    for (const options of hosts) {
+        const rack = options[0]?.worker.rack;
         if (rack === undefined) {
             continue;
         }
         const sameRack = racks.get(rack) ?? [];
-        sameRack.push([...ways]);
+        sameRack.push([...options]);
         racks.set(rack, sameRack);
     }
     return [...racks.values()];
 }
 
-/** Takes the ways with the least cost for each member first, one way a worker, until all members have a place. */
-function choose(
+/** Takes options by lowest cost per member, at most one per worker, until all members are placed. */
+function chooseOptions(
     unit: types.WaitingUnit,
-    pool: ReadonlyArray<readonly Host[]>,
-    roomOf: plainPlace.RoomOf,
-): Needed | undefined {
-    const ways = pool.flat().sort((a, b) => a.cost / a.fits - b.cost / b.fits || b.fits - a.fits);
-    const chosen = new Map<string, Host>();
+    pool: ReadonlyArray<readonly HostOption[]>,
+    getResources: referencePlace.GetResources,
+): PreemptionChoice | undefined {
+    const options = pool.flat().sort((a, b) => a.cost / a.fits - b.cost / b.fits || b.fits - a.fits);
+    const chosen = new Map<string, HostOption>();
     let placed = 0;
-    for (const way of ways) {
-        const before = chosen.get(way.worker.id);
+    for (const option of options) {
+        const previous = chosen.get(option.worker.id);
         if (placed >= unit.count) {
             break;
         }
-        if (before && before.fits >= way.fits) {
+        if (previous && previous.fits >= option.fits) {
             continue;
         }
-        placed += way.fits - (before?.fits ?? 0);
-        chosen.set(way.worker.id, way);
+        placed += option.fits - (previous?.fits ?? 0);
+        chosen.set(option.worker.id, option);
     }
     if (placed < unit.count) {
         return undefined;
     }
     const hosts = [...chosen.values()];
-    return spareVictims(unit, hosts.map(host => host.worker), hosts.flatMap(host => host.victims), roomOf);
+    return minimizeVictims(unit, hosts.map(host => host.worker), hosts.flatMap(host => host.victims), getResources);
 }
 
-interface Needed {
+interface PreemptionChoice {
     /** One worker for each member of the unit. */
     readonly workerIds: readonly string[];
     readonly victims: readonly types.RunningGroup[];
     readonly costCoreSeconds: number;
 }
 
-/** `workers` together hold the unit once all `victims` are stopped; spares the dearest victims first. */
-function spareVictims(
+/**
+ * Drops victims that the unit does not need, the most expensive first. `workers` must together hold the unit once all
+ * `victims` are stopped.
+ */
+function minimizeVictims(
     unit: types.WaitingUnit,
     workers: readonly types.PlaceableWorker[],
     victims: Iterable<types.RunningGroup>,
-    roomOf: plainPlace.RoomOf,
-): Needed {
+    getResources: referencePlace.GetResources,
+): PreemptionChoice {
     const needed = new Set(victims);
-    const dearestFirst = [...needed].sort((a, b) => b.costCoreSeconds - a.costCoreSeconds);
-    for (const victim of dearestFirst) {
+    const mostExpensiveFirst = [...needed].sort((a, b) => b.costCoreSeconds - a.costCoreSeconds);
+    for (const victim of mostExpensiveFirst) {
         needed.delete(victim);
-        if (fill(unit, workers, needed, roomOf).length < unit.count) {
+        if (placeMembers(unit, workers, needed, getResources).length < unit.count) {
             needed.add(victim);
         }
     }
     return {
-        workerIds: fill(unit, workers, needed, roomOf),
+        workerIds: placeMembers(unit, workers, needed, getResources),
         victims: [...needed],
         costCoreSeconds: [...needed].reduce((sum, victim) => sum + victim.costCoreSeconds, 0),
     };
 }
 
-/** Workers of as many members as find a place once these victims are stopped. */
-function fill(
+/** One worker for each member that fits once these victims are stopped. */
+function placeMembers(
     unit: types.WaitingUnit,
     workers: readonly types.PlaceableWorker[],
     victims: ReadonlySet<types.RunningGroup>,
-    roomOf: plainPlace.RoomOf,
+    getResources: referencePlace.GetResources,
 ): string[] {
-    const roomById = new Map(workers.map(worker => [worker.id, rooms.copyResources(roomOf(worker))]));
+    const freeByWorkerId = new Map(workers.map(worker => [worker.id, resources.copyResources(getResources(worker))]));
     for (const victim of victims) {
         for (const member of victim.members) {
-            const room = roomById.get(member.workerId);
-            if (room) {
-                rooms.addResources(room, member.needs);
+            const free = freeByWorkerId.get(member.workerId);
+            if (free) {
+                resources.addResources(free, member.needs);
             }
         }
     }
     const workerIds: string[] = [];
     for (const worker of workers) {
-        const fits = plainPlace.countMembers(unit, worker, roomById.get(worker.id)!);
+        const fits = referencePlace.countFittingMembers(unit, worker, freeByWorkerId.get(worker.id)!);
         for (let member = 0; member < fits && workerIds.length < unit.count; member++) {
             workerIds.push(worker.id);
         }
--- a/src/decisions/__tests__/speed.test.ts
+++ b/src/decisions/__tests__/speed.test.ts
@@ -1,28 +1,33 @@
 import * as speed from "../speed";
 
-/** What a worker tells of a task: time in milliseconds, percent. */
-type Told = readonly [at: number, percent: number];
+/** A progress report of a worker: time in milliseconds, progress in percent. */
+type ProgressReport = readonly [at: number, percent: number];
 
-function track(told: readonly Told[]): speed.SpeedHistory {
+function createHistory(reports: readonly ProgressReport[]): speed.SpeedHistory {
     const result = speed.createSpeedHistory();
-    told.forEach(([at, percent]) => speed.recordProgress(result, percent, at));
+    reports.forEach(([at, percent]) => speed.recordProgress(result, percent, at));
     return result;
 }
 
-describe("how much slower a task goes than at its best", () => {
-    const cases: ReadonlyArray<readonly [name: string, told: readonly Told[], slowdown: number | undefined]> = [
-        ["nothing is known after one word", [[1_000, 10]], undefined],
-        ["steady", [[1_000, 10], [2_000, 20], [3_000, 30]], 1],
-        ["a fifth of its speed", [[1_000, 10], [2_000, 20], [3_000, 22]], 5],
-        ["at its old speed again", [[1_000, 10], [2_000, 20], [3_000, 22], [4_000, 32]], 1],
-        ["the percent that an earlier run left counts as no progress", [[1_000, 0], [2_000, 50], [3_000, 60]], 1],
-        ["looks in quick succession are taken together", [[1_000, 10], [2_000, 20], [2_010, 20], [3_000, 30]], 1],
-        // Progress in whole percent says nothing of a task of an hour within seconds.
-        ["a long task", [[0, 1], [144_000, 5], [145_000, 5], [146_000, 5]], 1],
-        ["a task that stands still", [[1_000, 10], [2_000, 20], [4_000, 20]], 100],
+describe("the slowdown of a task", () => {
+    const cases: ReadonlyArray<
+        readonly [name: string, reports: readonly ProgressReport[], slowdown: number | undefined]
+    > = [
+        ["is unknown after one report", [[1_000, 10]], undefined],
+        ["is 1 at a steady rate", [[1_000, 10], [2_000, 20], [3_000, 30]], 1],
+        ["is 5 at a fifth of the best rate", [[1_000, 10], [2_000, 20], [3_000, 22]], 5],
+        ["is 1 once the task is back at its best rate", [[1_000, 10], [2_000, 20], [3_000, 22], [4_000, 32]], 1],
+        ["ignores the progress of an earlier run", [[1_000, 0], [2_000, 50], [3_000, 60]], 1],
+        ["merges reports in quick succession into one interval", [[1_000, 10], [2_000, 20], [2_010, 20], [
+            3_000,
+            30,
+        ]], 1],
+        // Guards against a false slowdown of a long task, whose progress in whole percent does not change for seconds.
+        ["is 1 for a long task between two whole percent", [[0, 1], [144_000, 5], [145_000, 5], [146_000, 5]], 1],
+        ["is at most 100 for a task without progress", [[1_000, 10], [2_000, 20], [4_000, 20]], 100],
     ];
-    test.each(cases)("%s", (_name, told, slowdown) => {
-        const measured = speed.getSlowdown(track(told));
+    test.each(cases)("%s", (_name, reports, slowdown) => {
+        const measured = speed.getSlowdown(createHistory(reports));
         if (slowdown === undefined) {
             expect(measured).toBeUndefined();
         }
@@ -32,27 +37,31 @@
     });
 });
 
-describe("whether a worker has turned slow", () => {
+describe("a worker counts as slow", () => {
     const cases: ReadonlyArray<readonly [name: string, slowdowns: readonly number[], slow: boolean]> = [
-        ["nothing is known", [], false],
-        ["most of its tasks are", [1, 6, 7], true],
-        ["one of its tasks is", [1, 1, 7], false],
-        ["its tasks share it", [1.5, 2, 2.2], false],
+        ["not if no slowdown is known", [], false],
+        ["if most of its tasks are slow", [1, 6, 7], true],
+        ["not if only one of its tasks is slow", [1, 1, 7], false],
+        ["not if its tasks slow each other down moderately", [1.5, 2, 2.2], false],
     ];
     test.each(cases)("%s", (_name, slowdowns, slow) => {
         expect(speed.isWorkerSlow(slowdowns)).toBe(slow);
     });
 });
 
-describe("whether a task on a slow worker would end sooner elsewhere", () => {
-    /** Tasks of 10 s that go at a sixth of their speed. */
+describe("moving a task from a slow worker", () => {
+    /** A task of 10 s at a sixth of its best rate. */
     const SLOW = { bestRate: 0.01, recentRate: 0.01 / 6 };
     const cases: ReadonlyArray<readonly [name: string, input: Partial<speed.MoveInput>, move: boolean]> = [
-        ["half done, goes on from what it saved", { percent: 50, checkpoints: true }, true],
-        ["half done, would begin anew", { percent: 50, checkpoints: false }, false],
-        ["hardly begun", { percent: 5, checkpoints: false }, true],
-        ["nearly done", { percent: 98, checkpoints: true }, false],
-        ["nothing is known of its speed", { percent: 5, checkpoints: true, bestRate: 0, recentRate: 0 }, false],
+        ["saves time if half done with a checkpoint", { percent: 50, checkpoints: true }, true],
+        ["saves no time if half done without a checkpoint", { percent: 50, checkpoints: false }, false],
+        ["saves time if just started", { percent: 5, checkpoints: false }, true],
+        ["saves no time if nearly done", { percent: 98, checkpoints: true }, false],
+        [
+            "is not considered if its rates are unknown",
+            { percent: 5, checkpoints: true, bestRate: 0, recentRate: 0 },
+            false,
+        ],
     ];
     test.each(cases)("%s", (_name, input, move) => {
         const times = speed.getMoveTimes({ percent: 0, checkpoints: false, ...SLOW, ...input });
--- a/src/decisions/disruptionBudget.ts
+++ b/src/decisions/disruptionBudget.ts
@@ -1,40 +1,42 @@
 /**
- * Keeps lasting steps at work: of their tasks no more are stopped at a time than the step may miss.
+ * Disruption budgets: of a lasting step, no more tasks are stopped at a time than its budget allows.
  *
- * What goes wrong without it: a guaranteed gang takes room from as many tasks of one lasting step as it needs, and the
- * users whom that step serves find none of it at work. One notices several tasks of a step that are away at once.
+ * Without budgets, a guaranteed gang may preempt all tasks of one lasting step, which then serves none of its users.
  */
 import type * as types from "./types";
 
+/** The budgets of all lasting steps, less what was used within a pass. */
 export interface DisruptionBudgets {
-    /** Whether the group may be stopped beside all that was chosen before. */
+    /** Whether the group may be stopped in addition to all recorded stops. */
     canStop(group: types.RunningGroup): boolean;
-    /** Of these victims, those that may not be stopped beside the others; the first ones go first. */
+    /** The victims that exceed the budget of their step; earlier victims use the budget first. */
     findOverBudget(victims: readonly types.RunningGroup[]): readonly types.RunningGroup[];
+    /** Charges the victims to the budgets. */
     recordStops(victims: readonly types.RunningGroup[]): void;
 }
 
+/** Budgets of which the pass has used nothing yet. */
 export function createDisruptionBudgets(): DisruptionBudgets {
-    const chosenByStep = new Map<string, number>();
-    const getLeft = (protection: types.DisruptionBudget, chosen: ReadonlyMap<string, number>) =>
-        protection.allowedDisruptions - (chosen.get(protection.step) ?? 0);
-    const count = (victims: readonly types.RunningGroup[], counts: Map<string, number>) => {
-        const excess: types.RunningGroup[] = [];
+    const stopsByStep = new Map<string, number>();
+    const getRemaining = (budget: types.DisruptionBudget, stops: ReadonlyMap<string, number>) =>
+        budget.allowedDisruptions - (stops.get(budget.step) ?? 0);
+    const charge = (victims: readonly types.RunningGroup[], stops: Map<string, number>) => {
+        const overBudget: types.RunningGroup[] = [];
         for (const victim of victims) {
             if (!victim.disruptionBudget) {
                 continue;
             }
-            if (getLeft(victim.disruptionBudget, counts) <= 0) {
-                excess.push(victim);
+            if (getRemaining(victim.disruptionBudget, stops) <= 0) {
+                overBudget.push(victim);
                 continue;
             }
-            counts.set(victim.disruptionBudget.step, (counts.get(victim.disruptionBudget.step) ?? 0) + 1);
+            stops.set(victim.disruptionBudget.step, (stops.get(victim.disruptionBudget.step) ?? 0) + 1);
         }
-        return excess;
+        return overBudget;
     };
     return {
-        canStop: group => !group.disruptionBudget || getLeft(group.disruptionBudget, chosenByStep) > 0,
-        findOverBudget: victims => count(victims, new Map(chosenByStep)),
-        recordStops: victims => void count(victims, chosenByStep),
+        canStop: group => !group.disruptionBudget || getRemaining(group.disruptionBudget, stopsByStep) > 0,
+        findOverBudget: victims => charge(victims, new Map(stopsByStep)),
+        recordStops: victims => void charge(victims, stopsByStep),
     };
 }
--- a/src/decisions/fleet.ts
+++ b/src/decisions/fleet.ts
@@ -1,20 +1,20 @@
 /**
- * The workers of one pass, indexed by the room that is left on them.
+ * The workers of one scheduling pass, indexed by their free resources.
  *
- * Looking at every worker for every waiting unit takes most of a leader's time on a large site. The index finds the
- * fullest worker that fits by two binary searches, and skips a rack that cannot hold a gang by one comparison.
+ * Scanning every worker for every waiting unit takes most of a leader's time on a large site. The index finds the
+ * fullest worker that fits by two binary searches and skips a rack that cannot hold a gang by one comparison.
  */
 import type * as work from "../work/index";
-import * as rooms from "./resources";
+import * as resources from "./resources";
 import type * as types from "./types";
 
-/** A worker and what is left of its room. */
+/** A worker and its free resources within the pass. */
 export interface Host {
     readonly worker: types.PlaceableWorker;
-    /** Its place among the workers of the pass; of equal hosts the first one goes first. */
+    /** Index among the workers of the pass; breaks ties between equal hosts, the lowest first. */
     readonly order: number;
-    /** Changed by `Fleet.change` only. */
-    readonly room: rooms.MutableResources;
+    /** Modified only by `Fleet.updateFree`, which keeps the index consistent. */
+    readonly free: resources.MutableResources;
     readonly rack: Rack;
 }
 
@@ -22,41 +22,44 @@
 export interface Rack {
     readonly name: string;
     readonly hosts: readonly Host[];
-    /** Rises whenever the room of one of its hosts changes. */
+    /** Incremented whenever the free resources of one of its hosts change. */
     getVersion(): number;
-    /** Room left on all hosts together, as `getLeftover` measures it. */
+    /** Sum of the free scores of all hosts. */
     getFreeScore(): number;
-    /** Members with these needs that its hosts hold now. */
+    /** Number of members with these needs that fit in the free resources of its hosts. */
     countFits(needs: work.Resources): number;
-    /** Members with these needs that its hosts would hold with nothing else on them. */
+    /** Number of members with these needs that would fit if its hosts were empty. */
     countFitsWhenEmpty(needs: work.Resources): number;
 }
 
 /** The hosts of one service. */
 export interface Pool {
-    /** Whether under half of the processors and of the accelerators were in use when the pass began. */
+    /** Whether less than half of the cores and less than half of the accelerators were in use when the pass began. */
     isMostlyFree(): boolean;
+    /** By rack name. */
     readonly racks: ReadonlyMap<string, Rack>;
-    /** Hosts that may hold such a member, the fullest first; a few that cannot may be among them. */
+    /** Hosts that may fit such a member, the fullest first. May include a few that do not fit. */
     iterateFullestFirst(needs: work.Resources): Iterable<Host>;
 }
 
+/** All workers of a pass. */
 export interface Fleet {
     readonly hosts: readonly Host[];
     getPool(service: string): Pool;
     getHost(workerId: string): Host | undefined;
-    updateFree(host: Host, apply: (room: rooms.MutableResources) => void): void;
+    /** Modifies the free resources of a host by `apply` and updates the index. */
+    updateFree(host: Host, apply: (free: resources.MutableResources) => void): void;
 }
 
-/** A fleet in which `getRoom` says what is left on each worker at first. */
+/** Creates a fleet; `getFree` returns the initial free resources of each worker. */
 export function createFleet(
     workers: readonly types.PlaceableWorker[],
-    getRoom: (worker: types.PlaceableWorker, order: number) => rooms.MutableResources,
+    getFree: (worker: types.PlaceableWorker, order: number) => resources.MutableResources,
 ): Fleet {
     const pools = new Map<string, MutablePool>();
     const hosts = workers.map((worker, order) => {
         const pool = getOrCreate(pools, worker.service, createPool);
-        return pool.add(worker, order, getRoom(worker, order));
+        return pool.add(worker, order, getFree(worker, order));
     });
     let hostsById: Map<string, Host> | undefined;
     return {
@@ -66,31 +69,31 @@
             hostsById ??= new Map(hosts.map(host => [host.worker.id, host]));
             return hostsById.get(workerId);
         },
-        updateFree: (host, apply) => pools.get(host.worker.service)!.change(host, apply),
+        updateFree: (host, apply) => pools.get(host.worker.service)!.updateFree(host, apply),
     };
 }
 
-/** Accelerators first, since they bind; processors break ties. */
-export function getFreeScore(room: rooms.MutableResources): number {
-    return room.accelerators + room.cpuMillis / CPU_TIE_SCALE;
+/** Free resources as one number. Accelerators dominate, as the scarcest resource; cores break ties. */
+export function getFreeScore(free: resources.MutableResources): number {
+    return free.accelerators + free.cpuMillis / CPU_TIE_SCALE;
 }
 
-/** Above any worker's thousandths of cores, so that processors never outweigh an accelerator. */
+/** Exceeds the millicores of any worker, so that cores never outweigh an accelerator. */
 const CPU_TIE_SCALE = 1e6;
 
 interface MutablePool extends Pool {
-    add(worker: types.PlaceableWorker, order: number, room: rooms.MutableResources): Host;
-    change(host: Host, apply: (room: rooms.MutableResources) => void): void;
+    add(worker: types.PlaceableWorker, order: number, free: resources.MutableResources): Host;
+    updateFree(host: Host, apply: (free: resources.MutableResources) => void): void;
 }
 
 function createPool(): MutablePool {
     const racks = new Map<string, MutableRack>();
     const hosts: Host[] = [];
     let mostlyFree: boolean | undefined;
-    /** Hosts by free accelerators, each list by free processors and then by order. */
+    /** Hosts by number of free accelerators; each list is sorted by free cores, then by order. */
     const lists = new Map<number, Host[]>();
     let sorted = true;
-    /** Free accelerators that occur, ascending. */
+    /** Keys of `lists`, ascending. */
     let levels: number[] = [];
 
     const sort = () => {
@@ -107,23 +110,23 @@
     return {
         racks,
         isMostlyFree: () => mostlyFree ??= isHalfFree(hosts),
-        add: (worker, order, room) => {
+        add: (worker, order, free) => {
             const rack = getOrCreate(racks, worker.rack, () => createRack(worker.rack));
-            const host = { worker, order, room, rack };
+            const host = { worker, order, free, rack };
             rack.add(host);
             hosts.push(host);
-            getList(room.accelerators).push(host);
+            getList(free.accelerators).push(host);
             sorted = false;
             return host;
         },
-        change: (host, apply) => {
+        updateFree: (host, apply) => {
             sort();
-            const before = lists.get(host.room.accelerators)!;
-            before.splice(findPosition(before, host.room.cpuMillis, host.order), 1);
-            apply(host.room);
-            const after = getList(host.room.accelerators);
-            after.splice(findPosition(after, host.room.cpuMillis, host.order), 0, host);
-            (host.rack as MutableRack).touch();
+            const before = lists.get(host.free.accelerators)!;
+            before.splice(findPosition(before, host.free.cpuMillis, host.order), 1);
+            apply(host.free);
+            const after = getList(host.free.accelerators);
+            after.splice(findPosition(after, host.free.cpuMillis, host.order), 0, host);
+            (host.rack as MutableRack).invalidate();
         },
         *iterateFullestFirst(needs) {
             sort();
@@ -142,24 +145,24 @@
 }
 
 function isHalfFree(hosts: readonly Host[]): boolean {
-    const kinds = ["cpuMillis", "accelerators"] as const;
-    return kinds.every(kind =>
-        2 * sum(hosts, host => host.worker.used[kind]) < sum(hosts, host => host.worker.capacity[kind])
+    const dimensions = ["cpuMillis", "accelerators"] as const;
+    return dimensions.every(dimension =>
+        2 * sum(hosts, host => host.worker.used[dimension]) < sum(hosts, host => host.worker.capacity[dimension])
     );
 }
 
 function compareHosts(a: Host, b: Host): number {
-    return a.room.cpuMillis - b.room.cpuMillis || a.order - b.order;
+    return a.free.cpuMillis - b.free.cpuMillis || a.order - b.order;
 }
 
-/** The first position in a sorted list whose host does not come before one with these processors and this order. */
+/** Lower bound: the first position in a sorted list whose host does not sort before `cpuMillis` and `order`. */
 function findPosition(list: readonly Host[], cpuMillis: number, order: number): number {
     let low = 0;
     let high = list.length;
     while (low < high) {
         const middle = (low + high) >> 1;
         const host = list[middle]!;
-        const before = host.room.cpuMillis < cpuMillis || (host.room.cpuMillis === cpuMillis && host.order < order);
+        const before = host.free.cpuMillis < cpuMillis || (host.free.cpuMillis === cpuMillis && host.order < order);
         if (before) {
             low = middle + 1;
         }
@@ -172,38 +175,38 @@
 
 interface MutableRack extends Rack {
     add(host: Host): void;
-    touch(): void;
+    invalidate(): void;
 }
 
 function createRack(name: string): MutableRack {
     const hosts: Host[] = [];
-    const capacities = createMemo(needs => sum(hosts, host => rooms.countFits(host.worker.capacity, needs)));
-    const fits = createMemo(needs => sum(hosts, host => rooms.countFits(host.room, needs)));
+    const capacities = createMemo(needs => sum(hosts, host => resources.countFits(host.worker.capacity, needs)));
+    const fits = createMemo(needs => sum(hosts, host => resources.countFits(host.free, needs)));
     let version = 0;
-    let leftover: number | undefined;
+    let freeScore: number | undefined;
     return {
         name,
         hosts,
         getVersion: () => version,
-        getFreeScore: () => leftover ??= sum(hosts, host => getFreeScore(host.room)),
+        getFreeScore: () => freeScore ??= sum(hosts, host => getFreeScore(host.free)),
         countFits: fits.get,
         countFitsWhenEmpty: capacities.get,
         add: host => {
             hosts.push(host);
         },
-        touch: () => {
+        invalidate: () => {
             version++;
-            leftover = undefined;
+            freeScore = undefined;
             fits.clear();
         },
     };
 }
 
-/** Counts by needs: the units of a pass have few different ones. */
+/** Caches a count by needs, of which the units of a pass have few distinct ones. */
 function createMemo(count: (needs: work.Resources) => number) {
     const counts = new Map<string, number>();
     return {
-        get: (needs: work.Resources) => getOrCreate(counts, rooms.getResourcesKey(needs), () => count(needs)),
+        get: (needs: work.Resources) => getOrCreate(counts, resources.getResourcesKey(needs), () => count(needs)),
         clear: () => counts.clear(),
     };
 }
--- a/src/decisions/index.ts
+++ b/src/decisions/index.ts
@@ -1,4 +1,4 @@
-/** Order, place and preemption: decisions without a network or a clock of their own. */
+/** Order, placement and preemption of tasks: pure decisions that use no network and read no clock. */
 export { isMechanism, type Mechanism, MECHANISMS, NO_MECHANISMS } from "./mechanism";
 export { getLatenessClass, Prospect, type Urgency } from "./order";
 export { decidePace, type PaceInput } from "./pace";
--- a/src/decisions/isolation.ts
+++ b/src/decisions/isolation.ts
@@ -1,35 +1,38 @@
 /**
- * Keeps a task that may take its worker down apart from other work.
+ * Isolates tasks that may crash their worker.
  *
- * What it takes with it is lost, and what has begun beside it would be as suspect as the task itself. So it goes to a
- * worker without other tasks if it can, else to one on which all have settled in, and nothing joins it in that pass.
+ * A crash loses all other tasks on the worker, and those that have just started there are suspected of it as well. So
+ * such a task is placed on an idle worker if possible, else on one without recent starts, and no other task is started
+ * there in the same pass.
  */
 import * as types from "./types";
 
+/** Restricts the workers of isolated units within one pass. */
 export interface Isolation {
-    /** The unit as it may be placed; a suspect one avoids workers on which something has just begun. */
+    /** The unit; if it has to be isolated, it excludes workers on which a task has just started. */
     avoidRecentStarts(unit: types.WaitingUnit): types.WaitingUnit;
-    /** The unit as it is best placed, on workers without tasks; `undefined` where that makes no difference. */
+    /** The unit restricted to idle workers; `undefined` if it need not be isolated. */
     requireIdleWorkers(unit: types.WaitingUnit): types.WaitingUnit | undefined;
-    /** The unit starts there. */
+    /** Records that the pass starts a task on these workers. */
     recordStart(workerIds: readonly string[]): void;
 }
 
+/** Isolation for a pass that has started nothing yet. */
 export function createIsolation(workers: readonly types.PlaceableWorker[]): Isolation {
-    /** Workers on which this pass has started something. */
-    const begun = new Set<string>();
-    const listAvoided = (unit: types.WaitingUnit, company: types.Company) => [
+    /** Workers on which this pass has started a task. */
+    const startedWorkerIds = new Set<string>();
+    const listExcluded = (unit: types.WaitingUnit, occupancy: types.Company) => [
         ...unit.excludedWorkerIds,
-        ...begun,
-        ...workers.filter(worker => worker.occupancy >= company).map(worker => worker.id),
+        ...startedWorkerIds,
+        ...workers.filter(worker => worker.occupancy >= occupancy).map(worker => worker.id),
     ];
-    const avoid = (unit: types.WaitingUnit, company: types.Company) => ({
+    const exclude = (unit: types.WaitingUnit, occupancy: types.Company) => ({
         ...unit,
-        excludedWorkerIds: new Set(listAvoided(unit, company)),
+        excludedWorkerIds: new Set(listExcluded(unit, occupancy)),
     });
     return {
-        avoidRecentStarts: unit => unit.mayCrashWorker ? avoid(unit, types.Company.RecentStart) : unit,
-        requireIdleWorkers: unit => unit.mayCrashWorker ? avoid(unit, types.Company.Stable) : undefined,
-        recordStart: workerIds => workerIds.forEach(id => begun.add(id)),
+        avoidRecentStarts: unit => unit.mayCrashWorker ? exclude(unit, types.Company.RecentStart) : unit,
+        requireIdleWorkers: unit => unit.mayCrashWorker ? exclude(unit, types.Company.Stable) : undefined,
+        recordStart: workerIds => workerIds.forEach(id => startedWorkerIds.add(id)),
     };
 }
--- a/src/decisions/mechanism.ts
+++ b/src/decisions/mechanism.ts
@@ -1,37 +1,40 @@
 /**
- * What the scheduler does beyond starting what fits, in the order of the queue. Each mechanism can be left out, so that
- * what it is worth can be measured; docs/POLICY.md has the figures.
+ * Mechanisms that the scheduler has beyond starting what fits in queue order. Each can be disabled, so that its effect
+ * can be measured; docs/POLICY.md has the results.
  */
 export const MECHANISMS = {
     preemption: "running work is stopped for urgent and guaranteed work",
-    sparing: "victims of a stop that turn out not to be needed go on",
-    lateness: "a stop costs more where the victim's job ends late for it",
+    sparing: "preemption victims that turn out not to be needed keep running",
+    lateness: "a stop costs more if it makes the victim's job late",
     repeatedStops: "a stop costs more for a victim that was stopped before",
-    rests: "work that was stopped for urgent work is not started at once again",
+    rests: "preempted work is not restarted at once",
     rackPatience: "a gang waits for a rack that can hold it",
-    dataPatience: "a task waits for room in the rack of its data",
-    gangData: "a gang is placed where its data is, with stops and waits for that if need be",
-    idlePatience: "beside idle workers nothing waits long for a better place",
-    inTimeOrder: "what can still be in time goes before what is late",
-    prediction: "callers' estimates are corrected by what was seen of their queue",
-    hangingTasks: "tasks without progress are stopped and their workers set aside",
-    failingWorkers: "workers on which several runs fail are set aside",
-    earlyFailures: "a run that fails as soon as it begins is enough to set its worker aside",
-    slowWorkers: "workers that turn slow are set aside",
-    slowMoves: "tasks on slow workers are moved where that pays",
-    leavingWorkers: "what cannot end before its worker leaves is stopped in time",
-    isolation: "a task that may take its worker down is started apart from other work",
-    unansweredLooks: "a start without an answer is looked for before it is stopped",
-    relay: "requests that an instance cannot serve are passed on",
-    handover: "a leader that loses the store hands its term over",
-    heartbeats: "a silent leader is succeeded before its lease lapses",
-    prolonging: "a leader without the store keeps the leases of running work",
-    firstLooks: "a new leader looks at its workers in turns",
+    dataPatience: "a task waits for free resources in the rack of its data",
+    gangData: "a gang is placed in the rack of its data, with preemption or a wait if needed",
+    idlePatience: "while workers are idle, nothing waits long for a better placement",
+    inTimeOrder: "work that can still be in time goes before work that is late",
+    prediction: "callers' estimates are corrected by the measured durations of their queue",
+    hangingTasks: "tasks without progress are stopped and their workers quarantined",
+    failingWorkers: "workers on which several runs fail are quarantined",
+    earlyFailures: "one run that fails right after its start is enough to quarantine its worker",
+    slowWorkers: "workers that become slow are quarantined",
+    slowMoves: "tasks on slow workers are moved if that is worthwhile",
+    leavingWorkers: "tasks that cannot end before their worker leaves are stopped in time",
+    isolation: "a task that may crash its worker is started apart from other tasks",
+    unansweredLooks: "a start without a response is looked up on the worker before it is stopped",
+    relay: "requests that an instance cannot serve are forwarded",
+    handover: "a leader that loses the store hands over leadership",
+    heartbeats: "a leader without heartbeats is replaced before its lease expires",
+    prolonging: "a leader without the store renews the leases of running work",
+    firstLooks: "a new leader polls its workers in batches",
 } as const;
+/** Name of a mechanism, as settings and command lines have it. */
 export type Mechanism = keyof typeof MECHANISMS;
 
+/** Disables no mechanism. */
 export const NO_MECHANISMS: ReadonlySet<Mechanism> = new Set();
 
+/** Whether a mechanism with that name exists. */
 export function isMechanism(name: string): name is Mechanism {
     return Object.hasOwn(MECHANISMS, name);
 }
--- a/src/decisions/order.ts
+++ b/src/decisions/order.ts
@@ -1,54 +1,56 @@
 /**
  * The order in which waiting units are served.
  *
- * A job earns its full worth up to its objective and a part of it up to three times the objective; its worth grows
- * with its work. So under load what counts is not who came first but what can still be earned: work that can meet
- * its objective goes before work that can only be late, and work that is past all credit goes last, though it still
- * runs when there is room.
+ * A job earns full credit, proportional to its work, until its objective, and partial credit until three times the
+ * objective. So work that can meet its objective goes before work that can only be late, and work that can earn no
+ * credit goes last, though it still runs if resources are free.
  */
 
 import type * as types from "./types";
 
-/** A late job still earns up to this multiple of its objective. */
-const LATE_MULTIPLE = 3;
+/** A late job earns partial credit until this multiple of its objective. */
+const PARTIAL_CREDIT_MULTIPLE = 3;
 
+/** The sort key of waiting work. */
 export interface Urgency {
     readonly tier: types.Claim;
+    /** Priority of the queue; 0 is the highest. */
     readonly priority: number;
-    /** Time since the job was handed in, or was due. */
+    /** Time since the job was submitted, or since the occurrence was due. */
     readonly ageMs: number;
-    /** Time within which the job should end. */
+    /** Age at which the job should end at the latest. */
     readonly objectiveMs: number;
     /** Expected time from the unit's start to the job's end. */
     readonly remainingMs: number;
 }
 
-/** What can still be earned; lower goes first. */
+/** Whether the work can still earn full, partial or no credit; lower goes first. */
 export const Prospect = { InTime: 0, Late: 1, TooLate: 2 } as const;
 export type Prospect = typeof Prospect[keyof typeof Prospect];
 
+/** The lateness class of work that starts now. */
 export function getLatenessClass(urgency: Urgency): Prospect {
     const endsAfterMs = urgency.ageMs + urgency.remainingMs;
     if (endsAfterMs <= urgency.objectiveMs) {
         return Prospect.InTime;
     }
-    return endsAfterMs <= LATE_MULTIPLE * urgency.objectiveMs ? Prospect.Late : Prospect.TooLate;
+    return endsAfterMs <= PARTIAL_CREDIT_MULTIPLE * urgency.objectiveMs ? Prospect.Late : Prospect.TooLate;
 }
 
-/** Time that the unit may still wait without its prospect getting worse; `Infinity` when nothing is left to lose. */
+/** Longest wait that does not worsen the lateness class; `Infinity` for work that can earn no credit. */
 export function getSlackMs(urgency: Urgency): number {
     const endsAfterMs = urgency.ageMs + urgency.remainingMs;
     switch (getLatenessClass(urgency)) {
         case Prospect.InTime:
             return urgency.objectiveMs - endsAfterMs;
         case Prospect.Late:
-            return LATE_MULTIPLE * urgency.objectiveMs - endsAfterMs;
+            return PARTIAL_CREDIT_MULTIPLE * urgency.objectiveMs - endsAfterMs;
         case Prospect.TooLate:
             return Infinity;
     }
 }
 
-/** Sorts by claim, prospect, priority and slack. */
+/** Sorts by preemption tier, lateness class, priority and slack. */
 export function compareUrgency(a: Urgency, b: Urgency): number {
     return b.tier - a.tier
         || getLatenessClass(a) - getLatenessClass(b)
@@ -56,12 +58,12 @@
         || compareNumbers(getSlackMs(a), getSlackMs(b));
 }
 
-/** Sorts by claim, priority and slack. */
+/** Sorts by preemption tier, priority and slack. */
 export function compareWithoutLateness(a: Urgency, b: Urgency): number {
     return b.tier - a.tier || a.priority - b.priority || compareNumbers(getSlackMs(a), getSlackMs(b));
 }
 
-/** Also of infinite numbers, whose difference is none. */
+/** Compares numbers that may be infinite, whose difference would be `NaN`. */
 export function compareNumbers(a: number, b: number): number {
     return a === b ? 0 : a < b ? -1 : 1;
 }
--- a/src/decisions/pace.ts
+++ b/src/decisions/pace.ts
@@ -1,32 +1,34 @@
 /**
- * How fast tasks that fill may work beside tasks that serve users of their own.
+ * Throttling of best-effort tasks that share a worker with latency-sensitive tasks.
  *
- * The disturbance differs by image and changes within seconds, so it is not predicted: the pace is cut steeply while
- * a serving task is near its bound, and raised slowly while all are well below it.
+ * The interference differs by image and changes within seconds, so it is not predicted. The pace of best-effort tasks is
+ * halved while a latency-sensitive task is near its latency bound and raised in small steps while all are well below it.
  */
 
+/** What the next pace depends on. */
 export interface PaceInput {
-    /** The pace now, in percent. */
+    /** Current pace of the best-effort tasks, in percent of full speed. */
     readonly currentPercent: number;
-    /** Tail of the response times of each serving task beside the fillers, as a share of its bound. */
+    /** Tail latency of each latency-sensitive task on the worker, divided by its bound. */
     readonly tailLatencyRatios: readonly number[];
 }
 
-/** Near the bound: the figures are rough and half a second old, so a cut at the bound itself comes too late. */
-const CUT_SHARE = 0.85;
-/** Beyond the bound the fillers stand still at once: the harm is bounded in seconds, and each look takes most of one. */
-const STOP_SHARE = 1;
-/** Well below: raising the pace from here by one step does not reach the bound. */
-const RAISE_SHARE = 0.6;
+/** Below 1, since the latencies are rough and half a second old: a cut at the bound itself would come too late. */
+const CUT_RATIO = 0.85;
+/** At the bound, best-effort tasks stop at once: violations count by the second, and each poll takes most of one. */
+const STOP_RATIO = 1;
+/** Low enough that raising the pace by one step does not exceed the bound. */
+const RAISE_BELOW_RATIO = 0.6;
 const RAISE_PERCENT = 10;
 
+/** The next pace of the best-effort tasks on a worker, in percent; 0 stops them. */
 export function decidePace(input: PaceInput): number {
-    const worst = Math.max(0, ...input.tailLatencyRatios);
-    if (worst >= STOP_SHARE) {
+    const worstRatio = Math.max(0, ...input.tailLatencyRatios);
+    if (worstRatio >= STOP_RATIO) {
         return 0;
     }
-    if (worst >= CUT_SHARE) {
+    if (worstRatio >= CUT_RATIO) {
         return Math.floor(input.currentPercent / 2);
     }
-    return worst < RAISE_SHARE ? Math.min(100, input.currentPercent + RAISE_PERCENT) : input.currentPercent;
+    return worstRatio < RAISE_BELOW_RATIO ? Math.min(100, input.currentPercent + RAISE_PERCENT) : input.currentPercent;
 }
--- a/src/decisions/place.ts
+++ b/src/decisions/place.ts
@@ -1,45 +1,44 @@
-/** Where a unit fits: the choice of workers within the room that a fleet has left. */
+/** Placement of a waiting unit: chooses workers within the free resources of a fleet. */
 import * as fleets from "./fleet";
 import * as mechanism from "./mechanism";
-import * as rooms from "./resources";
+import * as resources from "./resources";
 import * as types from "./types";
 
 /**
- * A same-rack gang that no rack can take now waits this long for one before it is spread. Spread over racks its
- * tasks take three times as long, so a wait of about one run of the gang is the better bargain; beyond it the gang
- * is late either way.
+ * Share of its expected duration for which a same-rack gang waits for a rack before it is spread over several. Spread
+ * tasks take three times as long, so waiting for about one run of the gang is cheaper; after that it is late either way.
  */
-const SPREAD_PATIENCE = 1;
-/** A task waits for room in the rack of its data for up to this share of its expected duration. */
-const DATA_PATIENCE = 0.5;
+const SPREAD_MAX_WAIT_SHARE = 1;
+/** Share of its expected duration for which a task waits for free resources in the rack of its data. */
+const DATA_MAX_WAIT_SHARE = 0.5;
 /**
- * While under half of the service is in use nothing waits longer than this for a better place: whoever sees idle workers
- * expects its work to run on them, and the users count work as lost that waits beside them for 3 s.
+ * Longest wait for a better placement while less than half of the service is in use. Users expect work to run on idle
+ * workers, and count work as lost that waits for 3 s while workers are idle.
  */
-const IDLE_PATIENCE_MS = 2_000;
+const IDLE_MAX_WAIT_MS = 2_000;
 
 /**
- * Work within a guarantee begins in time before it begins in the best place: its users count 2.7 s from its acceptance.
- * Without the bound such a gang waited for the rack of its data for as long as it runs while that rack was full of
- * other guaranteed work, beside room elsewhere. What is left is for stops (0.2 to 0.4 s) and orders.
+ * Longest wait of guaranteed work for a better placement. It has to start within 2.7 s of its acceptance; the rest of
+ * that time is for stopping victims (0.2 to 0.4 s) and for start requests. Without the bound, a guaranteed gang waits for
+ * as long as it runs if the rack of its data is full of other guaranteed work, although other racks have free resources.
  */
-const GUARANTEED_PATIENCE_MS = 1_500;
+const GUARANTEED_MAX_WAIT_MS = 1_500;
 
-/** One host for each member, or `undefined` where the unit does not fit. */
+/** One host for each member, or `undefined` if the unit does not fit or is to wait for a better placement. */
 export function place(
     unit: types.WaitingUnit,
     fleet: fleets.Fleet,
-    leftOut: ReadonlySet<mechanism.Mechanism> = mechanism.NO_MECHANISMS,
+    disabledMechanisms: ReadonlySet<mechanism.Mechanism> = mechanism.NO_MECHANISMS,
 ): fleets.Host[] | undefined {
     const pool = fleet.getPool(unit.service);
     if (unit.count === 1) {
-        const host = placeOne(unit, fleet, pool, leftOut);
+        const host = placeOne(unit, fleet, pool, disabledMechanisms);
         return host && [host];
     }
-    const dataRack = findDataRack(unit, pool, leftOut);
+    const dataRack = findDataRack(unit, pool, disabledMechanisms);
     if (dataRack) {
         const near = pack(unit, sortFullestFirst([...dataRack.hosts]));
-        if (near || unit.waitedMs < getPatienceMs(unit, SPREAD_PATIENCE, pool, leftOut)) {
+        if (near || unit.waitedMs < getMaxWaitMs(unit, SPREAD_MAX_WAIT_SHARE, pool, disabledMechanisms)) {
             return near;
         }
     }
@@ -47,25 +46,26 @@
         return pack(unit, iterateCandidates(unit, fleet, pool));
     }
     return placeInOneRack(unit, pool)
-        ?? (maySpread(unit, pool, leftOut) ? pack(unit, iterateCandidates(unit, fleet, pool)) : undefined);
+        ?? (maySpread(unit, pool, disabledMechanisms) ? pack(unit, iterateCandidates(unit, fleet, pool)) : undefined);
 }
 
 /**
- * The rack of a gang's data, where it could hold the gang: all members that lie elsewhere take three times as long, and
- * the gang ends with the slowest. Gangs that were placed wherever there was room, or in another rack at once, ended late
- * as a rule: of 193 urgent gangs that were late on 40 random deployments 87 ran over twice as long as their work takes
- * with no other delay, and 12 of 110 since.
+ * The rack of a unit's data if the empty rack could hold the whole unit, else `undefined`. Members in another rack take
+ * three times as long and a gang ends with its slowest member, so a gang that is placed wherever there are free
+ * resources usually ends late.
  */
 export function findDataRack(
     unit: types.WaitingUnit,
     pool: fleets.Pool,
-    leftOut: ReadonlySet<mechanism.Mechanism>,
+    disabledMechanisms: ReadonlySet<mechanism.Mechanism>,
 ): fleets.Rack | undefined {
-    const rack = unit.dataRack === undefined || leftOut.has("gangData") ? undefined : pool.racks.get(unit.dataRack);
-    return rack && couldHold(unit, rack) ? rack : undefined;
+    const rack = unit.dataRack === undefined || disabledMechanisms.has("gangData")
+        ? undefined
+        : pool.racks.get(unit.dataRack);
+    return rack && fitsWhenEmpty(unit, rack) ? rack : undefined;
 }
 
-/** Whether the worker may run the unit at all, whatever room it has. */
+/** Whether the worker meets the placement constraints of the unit, regardless of free resources. */
 export function isEligible(unit: types.WaitingUnit, worker: types.PlaceableWorker): boolean {
     return worker.service === unit.service
         && (unit.requiredLabel === undefined || worker.labels.includes(unit.requiredLabel))
@@ -73,13 +73,13 @@
         && (unit.allowedWorkerIds === undefined || unit.allowedWorkerIds.has(worker.id));
 }
 
-/** How many members of the unit the worker takes within that room. */
+/** Number of members of the unit that fit in `available` on the worker, within `maxPerWorker`. */
 export function countFittingMembers(
     unit: types.WaitingUnit,
     worker: types.PlaceableWorker,
-    room: rooms.MutableResources,
+    available: resources.MutableResources,
 ): number {
-    const fits = Math.min(unit.count, rooms.countFits(room, unit.needs));
+    const fits = Math.min(unit.count, resources.countFits(available, unit.needs));
     if (unit.maxPerWorker === 0) {
         return fits;
     }
@@ -87,101 +87,104 @@
     return Math.max(0, Math.min(fits, unit.maxPerWorker - present));
 }
 
-/** Whether every worker of the service may run the unit. */
+/** Whether every worker of the service is eligible for the unit. */
 export function isUnrestricted(unit: types.WaitingUnit): boolean {
     return unit.requiredLabel === undefined && unit.excludedWorkerIds.size === 0 && unit.allowedWorkerIds === undefined;
 }
 
-/** Hosts that may hold a member, the fullest first; a few that cannot may be among them. */
+/** Hosts that may fit a member, the fullest first. May include a few that do not fit. */
 function iterateCandidates(unit: types.WaitingUnit, fleet: fleets.Fleet, pool: fleets.Pool): Iterable<fleets.Host> {
     return unit.allowedWorkerIds ? listAllowed(unit.allowedWorkerIds, fleet) : pool.iterateFullestFirst(unit.needs);
 }
 
-/** Advice names a hundred workers at most, so they are sorted at each call. */
+/** Sorted at each call: advice names at most a hundred workers. */
 function listAllowed(allowed: ReadonlySet<string>, fleet: fleets.Fleet): fleets.Host[] {
     const hosts = [...allowed].map(id => fleet.getHost(id)).filter(host => host !== undefined);
     return sortFullestFirst(hosts);
 }
 
 function sortFullestFirst(hosts: fleets.Host[]): fleets.Host[] {
-    return hosts.sort((a, b) => fleets.getFreeScore(a.room) - fleets.getFreeScore(b.room) || a.order - b.order);
+    return hosts.sort((a, b) => fleets.getFreeScore(a.free) - fleets.getFreeScore(b.free) || a.order - b.order);
 }
 
-/** The fullest worker that fits, so that whole workers stay free for what needs them. */
+/** Best fit: the fullest worker that fits, so that empty workers remain for units that need a whole one. */
 function placeOne(
     unit: types.WaitingUnit,
     fleet: fleets.Fleet,
     pool: fleets.Pool,
-    leftOut: ReadonlySet<mechanism.Mechanism>,
+    disabledMechanisms: ReadonlySet<mechanism.Mechanism>,
 ): fleets.Host | undefined {
     const dataRack = unit.dataRack === undefined ? undefined : pool.racks.get(unit.dataRack);
     if (dataRack) {
         const near = findFullest(unit, sortFullestFirst([...dataRack.hosts]));
-        const mustBeNear = !leftOut.has("dataPatience")
-            && unit.waitedMs < getPatienceMs(unit, DATA_PATIENCE, pool, leftOut)
+        const waitsForDataRack = !disabledMechanisms.has("dataPatience")
+            && unit.waitedMs < getMaxWaitMs(unit, DATA_MAX_WAIT_SHARE, pool, disabledMechanisms)
             && dataRack.hosts.some(host => isEligible(unit, host.worker));
-        if (near || mustBeNear) {
+        if (near || waitsForDataRack) {
             return near;
         }
     }
     return findFullest(unit, iterateCandidates(unit, fleet, pool));
 }
 
-/** The host that keeps the least room and the least company; `hosts` come fullest first. */
+/** The host with the lowest sum of free score and interference penalty; `hosts` are sorted fullest first. */
 function findFullest(unit: types.WaitingUnit, hosts: Iterable<fleets.Host>): fleets.Host | undefined {
     let best: fleets.Host | undefined;
-    let least = Infinity;
+    let lowestScore = Infinity;
     for (const host of hosts) {
-        const leftover = fleets.getFreeScore(host.room);
-        if (leftover >= least) {
+        const freeScore = fleets.getFreeScore(host.free);
+        if (freeScore >= lowestScore) {
             break;
         }
-        const measure = leftover + getCompany(unit, host.worker);
-        if (measure < least && isEligible(unit, host.worker) && countFittingMembers(unit, host.worker, host.room) > 0) {
+        const score = freeScore + getInterferencePenalty(unit, host.worker);
+        if (
+            score < lowestScore && isEligible(unit, host.worker)
+            && countFittingMembers(unit, host.worker, host.free) > 0
+        ) {
             best = host;
-            least = measure;
+            lowestScore = score;
         }
     }
     return best;
 }
 
-/** The rack that keeps the least room afterwards, so that larger racks' room stays whole. */
+/** Best fit by rack: the fullest rack that fits, so that racks with more free resources remain for larger gangs. */
 function placeInOneRack(unit: types.WaitingUnit, pool: fleets.Pool): fleets.Host[] | undefined {
     const unrestricted = isUnrestricted(unit);
     let best: fleets.Host[] | undefined;
-    let least = Infinity;
+    let lowestScore = Infinity;
     for (const rack of pool.racks.values()) {
-        const far = unit.dataRack !== undefined && unit.dataRack !== rack.name;
-        const penalty = far ? FAR_PENALTY : 0;
-        if (penalty >= least || rack.countFits(unit.needs) < unit.count) {
+        const isRemote = unit.dataRack !== undefined && unit.dataRack !== rack.name;
+        const penalty = isRemote ? REMOTE_DATA_PENALTY : 0;
+        if (penalty >= lowestScore || rack.countFits(unit.needs) < unit.count) {
             continue;
         }
         const hosts = unrestricted ? rack.hosts : rack.hosts.filter(host => isEligible(unit, host.worker));
-        const leftover = penalty + (unrestricted ? rack.getFreeScore() : sumLeftover(hosts));
-        if (leftover >= least) {
+        const score = penalty + (unrestricted ? rack.getFreeScore() : sumFreeScores(hosts));
+        if (score >= lowestScore) {
             continue;
         }
         const chosen = pack(unit, sortFullestFirst([...hosts]));
         if (chosen) {
             best = chosen;
-            least = leftover;
+            lowestScore = score;
         }
     }
     return best;
 }
 
-function sumLeftover(hosts: readonly fleets.Host[]): number {
-    return hosts.reduce((sum, host) => sum + fleets.getFreeScore(host.room), 0);
+function sumFreeScores(hosts: readonly fleets.Host[]): number {
+    return hosts.reduce((sum, host) => sum + fleets.getFreeScore(host.free), 0);
 }
 
-/** Larger than the room of any rack: a rack with the data goes first, whatever room it has. */
-const FAR_PENALTY = 1e6;
+/** Exceeds the free score of any rack, so that the rack of the data is preferred however much of it is free. */
+const REMOTE_DATA_PENALTY = 1e6;
 
-/** Fills the hosts in their order. */
+/** First fit: fills the hosts in their order. */
 function pack(unit: types.WaitingUnit, hosts: Iterable<fleets.Host>): fleets.Host[] | undefined {
     const chosen: fleets.Host[] = [];
     for (const host of hosts) {
-        const fits = isEligible(unit, host.worker) ? countFittingMembers(unit, host.worker, host.room) : 0;
+        const fits = isEligible(unit, host.worker) ? countFittingMembers(unit, host.worker, host.free) : 0;
         for (let member = 0; member < fits && chosen.length < unit.count; member++) {
             chosen.push(host);
         }
@@ -192,53 +195,56 @@
     return undefined;
 }
 
-/** Whether the gang has waited long enough for a rack, or no rack of its service could ever hold it. */
+/** Whether the gang has waited long enough for a rack, or no rack of its service could hold it even when empty. */
 function maySpread(
     unit: types.WaitingUnit,
     pool: fleets.Pool,
-    leftOut: ReadonlySet<mechanism.Mechanism>,
+    disabledMechanisms: ReadonlySet<mechanism.Mechanism>,
 ): boolean {
-    if (leftOut.has("rackPatience") || unit.waitedMs >= getPatienceMs(unit, SPREAD_PATIENCE, pool, leftOut)) {
+    if (
+        disabledMechanisms.has("rackPatience")
+        || unit.waitedMs >= getMaxWaitMs(unit, SPREAD_MAX_WAIT_SHARE, pool, disabledMechanisms)
+    ) {
         return true;
     }
-    return ![...pool.racks.values()].some(rack => couldHold(unit, rack));
+    return ![...pool.racks.values()].some(rack => fitsWhenEmpty(unit, rack));
 }
 
-/** How long the unit waits for a better place, where it takes that share of its expected duration. */
-function getPatienceMs(
+/** Longest wait of the unit for a better placement, where `share` is a share of its expected duration. */
+function getMaxWaitMs(
     unit: types.WaitingUnit,
     share: number,
     pool: fleets.Pool,
-    leftOut: ReadonlySet<mechanism.Mechanism>,
+    disabledMechanisms: ReadonlySet<mechanism.Mechanism>,
 ): number {
-    const wantedMs = unit.expectedDurationMs * share;
-    const patienceMs = unit.tier === types.Claim.Guaranteed ? Math.min(wantedMs, GUARANTEED_PATIENCE_MS) : wantedMs;
-    return patienceMs > IDLE_PATIENCE_MS && !leftOut.has("idlePatience") && pool.isMostlyFree()
-        ? IDLE_PATIENCE_MS
-        : patienceMs;
+    const waitMs = unit.expectedDurationMs * share;
+    const maxWaitMs = unit.tier === types.Claim.Guaranteed ? Math.min(waitMs, GUARANTEED_MAX_WAIT_MS) : waitMs;
+    return maxWaitMs > IDLE_MAX_WAIT_MS && !disabledMechanisms.has("idlePatience") && pool.isMostlyFree()
+        ? IDLE_MAX_WAIT_MS
+        : maxWaitMs;
 }
 
-function couldHold(unit: types.WaitingUnit, rack: fleets.Rack): boolean {
+function fitsWhenEmpty(unit: types.WaitingUnit, rack: fleets.Rack): boolean {
     if (rack.countFitsWhenEmpty(unit.needs) < unit.count) {
         return false;
     }
-    const most = rack.hosts.reduce(
-        (sum, { worker }) => sum + countFittingMembers(unit, worker, rooms.copyResources(worker.capacity)),
+    const capacity = rack.hosts.reduce(
+        (sum, { worker }) => sum + countFittingMembers(unit, worker, resources.copyResources(worker.capacity)),
         0,
     );
-    return most >= unit.count;
+    return capacity >= unit.count;
 }
 
-/** Serving and filling tasks are kept apart as long as there is a choice: fillers slow down what serves. */
-function getCompany(unit: types.WaitingUnit, worker: types.PlaceableWorker): number {
+/** Keeps best-effort tasks away from latency-sensitive ones, which they slow down, as long as another host fits. */
+function getInterferencePenalty(unit: types.WaitingUnit, worker: types.PlaceableWorker): number {
     if (unit.latencySensitive) {
-        return worker.bestEffortTasks * COMPANY_PENALTY;
+        return worker.bestEffortTasks * INTERFERENCE_PENALTY;
     }
     if (unit.bestEffort) {
-        return worker.latencySensitiveTasks * COMPANY_PENALTY + worker.bestEffortTasks;
+        return worker.latencySensitiveTasks * INTERFERENCE_PENALTY + worker.bestEffortTasks;
     }
     return 0;
 }
 
-/** More than the accelerators of any worker. */
-const COMPANY_PENALTY = 1_000;
+/** Exceeds the number of accelerators of any worker. */
+const INTERFERENCE_PENALTY = 1_000;
--- a/src/decisions/plan.ts
+++ b/src/decisions/plan.ts
@@ -1,108 +1,117 @@
 /**
- * One pass over the waiting units, in their order: who starts where, and what is stopped for whom.
+ * One scheduling pass over the waiting units, in their order: which units start on which workers, and which running work
+ * is stopped for them.
  *
- * A unit that waits for work to be stopped keeps the room that is coming free: without that, a smaller unit behind
- * it takes the room first and more work is stopped in the next pass, which shows as work thrown away without an end.
+ * Resources that are being released are reserved for the unit that waits for them. Otherwise a smaller unit later in the
+ * order takes them and more work is stopped in each following pass, so that the thrown-away work grows without bound.
  */
-import * as protection from "./disruptionBudget";
+import * as disruptionBudgets from "./disruptionBudget";
 import * as fleets from "./fleet";
 import * as isolation from "./isolation";
 import * as mechanism from "./mechanism";
 import * as place from "./place";
 import * as preempt from "./preempt";
-import * as rooms from "./resources";
+import * as resources from "./resources";
 import * as types from "./types";
 
+/** Decides starts and stops; nothing in `input` is modified. */
 export function plan(input: types.PlanInput): types.Plan {
     const starts: types.PlannedStart[] = [];
     const stops: types.PlannedStop[] = [];
-    const site = createSite(input);
-    const leftOut = input.disabledMechanisms ?? mechanism.NO_MECHANISMS;
+    const passResources = createPassResources(input);
+    const disabledMechanisms = input.disabledMechanisms ?? mechanism.NO_MECHANISMS;
     const stepTasks = createStepTasks();
-    const apart = isolation.createIsolation(input.workers);
-    const hopeless = new Set<string>();
+    const passIsolation = isolation.createIsolation(input.workers);
+    const unplaceableClasses = new Set<string>();
     for (const waiting of input.units) {
-        if (hopeless.has(waiting.equivalenceClass)) {
+        if (unplaceableClasses.has(waiting.equivalenceClass)) {
             continue;
         }
-        const unit = apart.avoidRecentStarts(stepTasks.withPlaced(waiting));
-        const idle = apart.requireIdleWorkers(unit);
-        const now = (idle && place.place(idle, site.free, leftOut)) ?? place.place(unit, site.free, leftOut);
-        if (now) {
-            starts.push({ unit, workerIds: getIds(now) });
-            stepTasks.add(unit, now);
-            apart.recordStart(getIds(now));
-            site.take(unit, now);
+        const unit = passIsolation.avoidRecentStarts(stepTasks.withStepTasks(waiting));
+        const idleOnly = passIsolation.requireIdleWorkers(unit);
+        const hosts = (idleOnly && place.place(idleOnly, passResources.free, disabledMechanisms))
+            ?? place.place(unit, passResources.free, disabledMechanisms);
+        if (hosts) {
+            starts.push({ unit, workerIds: getWorkerIds(hosts) });
+            stepTasks.add(unit, hosts);
+            passIsolation.recordStart(getWorkerIds(hosts));
+            passResources.allocate(unit, hosts);
             if (unit.mayCrashWorker) {
-                site.close(now);
+                passResources.block(hosts);
             }
             continue;
         }
-        const later = place.place(unit, site.getSoon(), leftOut);
-        if (later) {
-            stepTasks.add(unit, later);
-            site.reserve(unit, later);
+        const futureHosts = place.place(unit, passResources.getFutureFree(), disabledMechanisms);
+        if (futureHosts) {
+            stepTasks.add(unit, futureHosts);
+            passResources.reserve(unit, futureHosts);
             continue;
         }
-        const needed = unit.tier === types.Claim.None || leftOut.has("preemption")
+        const choice = unit.tier === types.Claim.None || disabledMechanisms.has("preemption")
             ? undefined
-            : site.getPreemptor().chooseVictims(unit);
-        if (!needed) {
-            hopeless.add(unit.equivalenceClass);
+            : passResources.getPreemptor().chooseVictims(unit);
+        if (!choice) {
+            unplaceableClasses.add(unit.equivalenceClass);
             continue;
         }
-        site.getPreemptor().recordStops(needed.victims);
-        stops.push(...needed.victims.map(group => ({ group, forUnit: unit.key, tier: unit.tier })));
-        site.reserve(unit, needed.hosts);
+        passResources.getPreemptor().recordStops(choice.victims);
+        stops.push(...choice.victims.map(group => ({ group, forUnit: unit.key, tier: unit.tier })));
+        passResources.reserve(unit, choice.hosts);
     }
     return { starts, stops };
 }
 
-/** What the pass has left of the site. What few passes need is built when it is asked for. */
-function createSite(input: types.PlanInput) {
+/** The resources that remain within the pass. What only some passes need is created on demand. */
+function createPassResources(input: types.PlanInput) {
     const free = fleets.createFleet(input.workers, worker => {
-        const room = rooms.copyResources(worker.capacity);
-        rooms.subtractResources(room, worker.used);
-        return room;
+        const available = resources.copyResources(worker.capacity);
+        resources.subtractResources(available, worker.used);
+        return available;
     });
-    /** Free now or within the stop time; what is promised to an earlier unit is taken off. */
-    let soon: fleets.Fleet | undefined;
+    /** Free now or within the stop time, less what is reserved for earlier units. */
+    let futureFree: fleets.Fleet | undefined;
     let preemptor: preempt.Preemptor | undefined;
-    const getSoon = () =>
-        soon ??= fleets.createFleet(input.workers, (worker, order) => {
-            const room = rooms.copyResources(free.hosts[order]!.room);
-            rooms.addResources(room, worker.releasing);
-            return room;
+    const getFutureFree = () =>
+        futureFree ??= fleets.createFleet(input.workers, (worker, order) => {
+            const available = resources.copyResources(free.hosts[order]!.free);
+            resources.addResources(available, worker.releasing);
+            return available;
         });
     return {
         free,
-        getSoon,
+        getFutureFree,
         getPreemptor: () =>
             preemptor ??= preempt.createPreemptor({
-                fleet: getSoon(),
+                fleet: getFutureFree(),
                 groups: input.getRunningGroups(),
-                budgets: protection.createDisruptionBudgets(),
+                budgets: disruptionBudgets.createDisruptionBudgets(),
                 disabledMechanisms: input.disabledMechanisms ?? mechanism.NO_MECHANISMS,
             }),
-        /** `hosts` are of `free`, one for each member. */
-        take: (unit: types.WaitingUnit, hosts: readonly fleets.Host[]) => {
+        /** Takes the resources of a unit that starts. `hosts` belong to `free`, one for each member. */
+        allocate: (unit: types.WaitingUnit, hosts: readonly fleets.Host[]) => {
             for (const [host, members] of countEach(hosts)) {
-                free.updateFree(host, room => rooms.subtractResources(room, unit.needs, members));
-                soon?.updateFree(soon.hosts[host.order]!, room => rooms.subtractResources(room, unit.needs, members));
+                free.updateFree(host, available => resources.subtractResources(available, unit.needs, members));
+                futureFree?.updateFree(
+                    futureFree.hosts[host.order]!,
+                    available => resources.subtractResources(available, unit.needs, members),
+                );
             }
         },
-        /** Nothing else starts on these in this pass; `hosts` are of `free`. */
-        close: (hosts: readonly fleets.Host[]) => {
+        /** Prevents further starts on these hosts in this pass. `hosts` belong to `free`. */
+        block: (hosts: readonly fleets.Host[]) => {
             for (const host of new Set(hosts)) {
-                free.updateFree(host, rooms.blockResources);
-                getSoon().updateFree(getSoon().hosts[host.order]!, rooms.blockResources);
+                free.updateFree(host, resources.blockResources);
+                getFutureFree().updateFree(getFutureFree().hosts[host.order]!, resources.blockResources);
             }
         },
-        /** `hosts` are of `getSoon()`, one for each member. */
+        /** Reserves resources for a unit that waits. `hosts` belong to `getFutureFree()`, one for each member. */
         reserve: (unit: types.WaitingUnit, hosts: readonly fleets.Host[]) => {
             for (const [host, members] of countEach(hosts)) {
-                getSoon().updateFree(host, room => rooms.subtractResources(room, unit.needs, members));
-                free.updateFree(free.hosts[host.order]!, room => rooms.capResources(room, host.room));
+                getFutureFree().updateFree(
+                    host,
+                    available => resources.subtractResources(available, unit.needs, members),
+                );
+                free.updateFree(free.hosts[host.order]!, available => resources.capResources(available, host.free));
             }
         },
     };
@@ -116,15 +125,15 @@
     return counts;
 }
 
-function getIds(hosts: readonly fleets.Host[]): string[] {
+function getWorkerIds(hosts: readonly fleets.Host[]): string[] {
     return hosts.map(host => host.worker.id);
 }
 
-/** Tasks of each bounded step by worker, with those that this pass has placed or reserved room for. */
+/** Tasks by worker of each step with `maxPerWorker`, including those that this pass places or reserves resources for. */
 function createStepTasks() {
     const byStep = new Map<string, Map<string, number>>();
     return {
-        withPlaced: (unit: types.WaitingUnit): types.WaitingUnit => {
+        withStepTasks: (unit: types.WaitingUnit): types.WaitingUnit => {
             if (unit.maxPerWorker === 0) {
                 return unit;
             }
--- a/src/decisions/policy.ts
+++ b/src/decisions/policy.ts
@@ -1,52 +1,60 @@
-/** What may differ from one deployment or experiment to the next: the order of the queue and the price of a stop. */
+/** Scheduling policies, by which deployments and experiments differ: the queue order and the cost of a stop. */
 import * as mechanism from "./mechanism";
 import * as order from "./order";
 import * as stopCost from "./stopCost";
 
+/** Orders waiting work and weighs the victims of preemption. */
 export interface Policy {
+    /** Sort comparator; negative if `a` is served first. */
     compare(a: order.Urgency, b: order.Urgency): number;
+    /** Cost of stopping running work, in core-seconds. */
     getStopCost(input: stopCost.StopCostInput): number;
     readonly disabledMechanisms: ReadonlySet<mechanism.Mechanism>;
 }
 
-/** Guarantees come first under any policy: they are promises, not preferences. */
-function afterClaims(compare: Policy["compare"]): Policy["compare"] {
+/** Sorts by preemption tier first: every policy has to meet the accounts' guarantees. */
+function compareTierFirst(compare: Policy["compare"]): Policy["compare"] {
     return (a, b) => b.tier - a.tier || compare(a, b);
 }
 
 const { getStopCost } = stopCost;
-const leftOut = mechanism.NO_MECHANISMS;
+const disabledMechanisms = mechanism.NO_MECHANISMS;
 
-/** By name. `worth` is what instances use; the others are there to be compared with it. */
+/** Policies by name. Instances use `worth`; the others are baselines for experiments. */
 export const POLICIES = {
-    /** What can still be earned, then priority, then the time that is left. */
-    worth: { compare: order.compareUrgency, getStopCost, disabledMechanisms: leftOut },
-    /** The same order; stops are weighed by the thrown away work alone. */
+    /** By lateness class, then priority, then slack. */
+    worth: { compare: order.compareUrgency, getStopCost, disabledMechanisms },
+    /** The same order, but a stop costs only the thrown-away work. */
     lossOnly: {
         compare: order.compareUrgency,
         getStopCost: input => input.lossCoreSeconds,
-        disabledMechanisms: leftOut,
+        disabledMechanisms,
+    },
+    arrival: {
+        compare: compareTierFirst((a, b) => b.ageMs - a.ageMs),
+        getStopCost,
+        disabledMechanisms,
     },
-    arrival: { compare: afterClaims((a, b) => b.ageMs - a.ageMs), getStopCost, disabledMechanisms: leftOut },
     priority: {
-        compare: afterClaims((a, b) => a.priority - b.priority || b.ageMs - a.ageMs),
+        compare: compareTierFirst((a, b) => a.priority - b.priority || b.ageMs - a.ageMs),
         getStopCost,
-        disabledMechanisms: leftOut,
+        disabledMechanisms,
     },
     shortest: {
-        compare: afterClaims((a, b) => a.remainingMs - b.remainingMs),
+        compare: compareTierFirst((a, b) => a.remainingMs - b.remainingMs),
         getStopCost,
-        disabledMechanisms: leftOut,
+        disabledMechanisms,
     },
     slack: {
-        compare: afterClaims((a, b) => order.compareNumbers(order.getSlackMs(a), order.getSlackMs(b))),
+        compare: compareTierFirst((a, b) => order.compareNumbers(order.getSlackMs(a), order.getSlackMs(b))),
         getStopCost,
-        disabledMechanisms: leftOut,
+        disabledMechanisms,
     },
 } satisfies Readonly<Record<string, Policy>>;
+/** Name of a policy, as command lines have it. */
 export type PolicyName = keyof typeof POLICIES;
 
-/** The policy with these mechanisms left out. */
+/** The policy with these mechanisms disabled, besides those that it disables itself. */
 export function disableMechanisms(policy: Policy, names: Iterable<mechanism.Mechanism>): Policy {
     const all: ReadonlySet<mechanism.Mechanism> = new Set([...policy.disabledMechanisms, ...names]);
     return {
--- a/src/decisions/prediction.ts
+++ b/src/decisions/prediction.ts
@@ -1,18 +1,21 @@
-/** Learns by how much a queue's tasks take longer or shorter than their callers estimate. */
+/** Corrects the callers' estimates of task durations by the durations measured for their queue. */
 
+/** Corrections by queue. Durations are in milliseconds. */
 export interface Predictor {
-    /** Takes note of a run from start to end that was neither resumed nor disturbed. */
+    /** Learns from a complete run that was neither resumed nor disturbed. */
     learn(queue: string, estimateMs: number, actualMs: number): void;
+    /** The expected duration. An estimate of 0 means that the caller gave none. */
     predict(queue: string, estimateMs: number): number;
 }
 
-/** Weight of the newest run: about twenty runs decide, which a busy queue has within half a minute. */
-const NEWEST_WEIGHT = 0.08;
-/** A task that hangs, or runs three times as long far from its data, must not spoil what was learned. */
-const MOST_OFF = 3;
-/** Where a caller gives no estimate. */
+/** Weight of the latest run: about twenty runs dominate, which a busy queue has within half a minute. */
+const LATEST_WEIGHT = 0.08;
+/** Runs off by a larger factor are ignored: tasks that hang, or take three times as long away from their data. */
+const MAX_ERROR_FACTOR = 3;
+/** Used if the caller gives no estimate. */
 const DEFAULT_ESTIMATE_MS = 5_000;
 
+/** A predictor that has learned nothing yet. */
 export function createPredictor(): Predictor {
     const ratios = new Map<string, number>();
     return {
@@ -21,11 +24,11 @@
                 return;
             }
             const ratio = actualMs / estimateMs;
-            if (ratio > MOST_OFF || ratio < 1 / MOST_OFF) {
+            if (ratio > MAX_ERROR_FACTOR || ratio < 1 / MAX_ERROR_FACTOR) {
                 return;
             }
-            const before = ratios.get(queue) ?? 1;
-            ratios.set(queue, before + NEWEST_WEIGHT * (ratio - before));
+            const previous = ratios.get(queue) ?? 1;
+            ratios.set(queue, previous + LATEST_WEIGHT * (ratio - previous));
         },
         predict: (queue, estimateMs) => (estimateMs > 0 ? estimateMs : DEFAULT_ESTIMATE_MS) * (ratios.get(queue) ?? 1),
     };
--- a/src/decisions/preempt.ts
+++ b/src/decisions/preempt.ts
@@ -1,129 +1,137 @@
 /**
- * Whose work is stopped so that an urgent unit begins in time.
+ * Preemption: chooses the running groups that are stopped for a unit of a higher tier.
  *
- * What a rack offers a unit changes only with the room and the running groups of the rack, so it is kept from one
- * unit of a pass to the next one that is alike: a full site asks the same question for every urgent task.
+ * The options of a rack change only with its free resources and running groups, so they are cached for similar units of
+ * a pass: on a full site, every urgent task needs the same options.
  */
-import type * as protection from "./disruptionBudget";
+import type * as disruptionBudgets from "./disruptionBudget";
 import * as fleets from "./fleet";
 import type * as mechanism from "./mechanism";
-import * as sparing from "./minimizeVictims";
+import * as victimSelection from "./minimizeVictims";
 import * as place from "./place";
-import * as rooms from "./resources";
+import * as resources from "./resources";
 import * as types from "./types";
 
-/** A way to use a host: how many members it takes once some groups there are stopped. */
-interface Way {
+/** An option for a host: the number of members that fit once some groups on it are stopped. */
+interface HostOption {
     readonly host: fleets.Host;
     readonly fits: number;
-    /** Of these the first `victimCount` are stopped. */
+    /** The first `victimCount` of these are stopped. */
     readonly candidates: readonly types.RunningGroup[];
     readonly victimCount: number;
     readonly cost: number;
 }
 
-/** What a rack offers a unit; the ways with the least cost for each member come first. */
-interface Offer {
+/** The options of a rack for a unit, those with the lowest cost per member first. */
+interface RackOptions {
+    /** Version of the rack for which the options were listed. */
     readonly version: number;
-    readonly ways: readonly Way[];
-    /** Set once it was asked for. */
-    whole?: { readonly choice: sparing.PreemptionChoice | undefined; };
+    readonly hostOptions: readonly HostOption[];
+    /** The choice if the rack holds the whole unit; computed on demand. */
+    wholeUnit?: { readonly choice: victimSelection.PreemptionChoice | undefined; };
 }
 
+/** Chooses victims within one pass. */
 export interface Preemptor {
-    /** The hosts, and the victims whose stop costs least; `undefined` where nothing that may be stopped suffices. */
-    chooseVictims(unit: types.WaitingUnit): sparing.PreemptionChoice | undefined;
-    /** Takes the victims out, their room counts as free soon. */
+    /** The hosts and the cheapest victims; `undefined` if stopping all permitted groups does not suffice. */
+    chooseVictims(unit: types.WaitingUnit): victimSelection.PreemptionChoice | undefined;
+    /** Records the stops: the victims are no longer running and their resources count as free soon. */
     recordStops(victims: readonly types.RunningGroup[]): void;
 }
 
+/** What a preemptor works on. */
 export interface PreemptorOptions {
-    /** Room that is free now or soon. */
+    /** Resources that are free now or within the stop time. */
     readonly fleet: fleets.Fleet;
     readonly groups: readonly types.RunningGroup[];
-    readonly budgets: protection.DisruptionBudgets;
+    readonly budgets: disruptionBudgets.DisruptionBudgets;
     readonly disabledMechanisms: ReadonlySet<mechanism.Mechanism>;
 }
 
+/** A preemptor for one pass; it changes `fleet` and `budgets` as victims are recorded. */
 export function createPreemptor(
-    { fleet, groups, budgets: protector, disabledMechanisms: leftOut }: PreemptorOptions,
+    { fleet, groups, budgets, disabledMechanisms }: PreemptorOptions,
 ): Preemptor {
-    const sparesVictims = !leftOut.has("sparing");
+    const minimizesVictims = !disabledMechanisms.has("sparing");
     const groupsByWorker = groupByWorker(groups);
     const stopped = new Set<types.RunningGroup>();
-    const offersByKind = new Map<string, Map<fleets.Rack, Offer>>();
+    const optionsByKey = new Map<string, Map<fleets.Rack, RackOptions>>();
 
-    const getVictims = (unit: types.WaitingUnit, spared: ReadonlySet<types.RunningGroup>, workerId: string) =>
+    const getVictims = (unit: types.WaitingUnit, excluded: ReadonlySet<types.RunningGroup>, workerId: string) =>
         (groupsByWorker.get(workerId) ?? []).filter(group =>
-            unit.tier > group.tier && !stopped.has(group) && !spared.has(group) && protector.canStop(group)
+            unit.tier > group.tier && !stopped.has(group) && !excluded.has(group) && budgets.canStop(group)
         );
-    const createOffer = (
+    const createRackOptions = (
         unit: types.WaitingUnit,
         rack: fleets.Rack,
-        spared: ReadonlySet<types.RunningGroup>,
-    ): Offer => ({
+        excluded: ReadonlySet<types.RunningGroup>,
+    ): RackOptions => ({
         version: rack.getVersion(),
-        ways: rack.hosts
+        hostOptions: rack.hosts
             .filter(host => place.isEligible(unit, host.worker))
-            .flatMap(host => listWays(unit, host, getVictims(unit, spared, host.worker.id)))
-            .sort(compareWays),
+            .flatMap(host => listHostOptions(unit, host, getVictims(unit, excluded, host.worker.id)))
+            .sort(compareHostOptions),
     });
-    /** Offers from before for units of the same kind, where nothing has changed since. */
-    const getOffers = (unit: types.WaitingUnit, spared: ReadonlySet<types.RunningGroup>): Map<fleets.Rack, Offer> => {
-        const kind = spared.size === 0 ? getKind(unit) : undefined;
-        const offers = (kind === undefined ? undefined : offersByKind.get(kind)) ?? new Map<fleets.Rack, Offer>();
+    /** Cached options for units with the same key, refreshed for racks that have changed since. */
+    const getRackOptions = (
+        unit: types.WaitingUnit,
+        excluded: ReadonlySet<types.RunningGroup>,
+    ): Map<fleets.Rack, RackOptions> => {
+        const cacheKey = excluded.size === 0 ? getCacheKey(unit) : undefined;
+        const optionsByRack = (cacheKey === undefined ? undefined : optionsByKey.get(cacheKey))
+            ?? new Map<fleets.Rack, RackOptions>();
         for (const rack of fleet.getPool(unit.service).racks.values()) {
-            if (offers.get(rack)?.version !== rack.getVersion()) {
-                offers.set(rack, createOffer(unit, rack, spared));
+            if (optionsByRack.get(rack)?.version !== rack.getVersion()) {
+                optionsByRack.set(rack, createRackOptions(unit, rack, excluded));
             }
         }
-        if (kind !== undefined) {
-            offersByKind.set(kind, offers);
+        if (cacheKey !== undefined) {
+            optionsByKey.set(cacheKey, optionsByRack);
         }
-        return offers;
+        return optionsByRack;
     };
-    const chooseBeside = (unit: types.WaitingUnit, spared: ReadonlySet<types.RunningGroup>) => {
-        const offersByRack = getOffers(unit, spared);
-        const dataRack = place.findDataRack(unit, fleet.getPool(unit.service), leftOut);
-        const nearOffer = dataRack && offersByRack.get(dataRack);
-        const near = nearOffer && takeWays(unit, nearOffer.ways, sparesVictims);
+    const chooseExcluding = (unit: types.WaitingUnit, excluded: ReadonlySet<types.RunningGroup>) => {
+        const optionsByRack = getRackOptions(unit, excluded);
+        const dataRack = place.findDataRack(unit, fleet.getPool(unit.service), disabledMechanisms);
+        const nearOptions = dataRack && optionsByRack.get(dataRack);
+        const near = nearOptions && takeHostOptions(unit, nearOptions.hostOptions, minimizesVictims);
         if (near) {
             return near;
         }
-        const offers = [...offersByRack.values()];
+        const rackOptions = [...optionsByRack.values()];
         const best = unit.sameRack
-            ? findCheapest(unit, offers, sparesVictims)
-            : takeWays(unit, mergeWays(offers), sparesVictims);
-        // A guarantee is kept within its bound even where no single rack can take the gang.
+            ? findCheapest(unit, rackOptions, minimizesVictims)
+            : takeHostOptions(unit, mergeHostOptions(rackOptions), minimizesVictims);
+        // A guaranteed gang has to start in time even if no single rack can hold it.
         return best ?? (unit.sameRack && unit.tier === types.Claim.Guaranteed
-            ? takeWays(unit, mergeWays(offers), sparesVictims)
+            ? takeHostOptions(unit, mergeHostOptions(rackOptions), minimizesVictims)
             : undefined);
     };
     return {
         chooseVictims: unit => {
-            const spared = new Set<types.RunningGroup>();
+            const excluded = new Set<types.RunningGroup>();
             for (;;) {
-                const choice = chooseBeside(unit, spared);
-                const excess = choice ? protector.findOverBudget(choice.victims) : [];
-                if (excess.length === 0) {
+                const choice = chooseExcluding(unit, excluded);
+                const overBudget = choice ? budgets.findOverBudget(choice.victims) : [];
+                if (overBudget.length === 0) {
                     return choice;
                 }
-                // Without them, until a choice is allowed or nothing is left to choose.
-                excess.forEach(group => spared.add(group));
+                // Choose again without them, until the budgets allow the choice or there is none.
+                overBudget.forEach(group => excluded.add(group));
             }
         },
         recordStops: victims => {
-            protector.recordStops(victims);
+            budgets.recordStops(victims);
             if (victims.some(victim => victim.disruptionBudget)) {
-                // Other tasks of the step, on any rack, may have become untouchable.
-                offersByKind.clear();
+                // Other tasks of the step, on any rack, may no longer be stopped.
+                optionsByKey.clear();
             }
             for (const victim of victims) {
                 stopped.add(victim);
                 for (const member of victim.members) {
                     const host = fleet.getHost(member.workerId);
                     if (host) {
-                        fleet.updateFree(host, room => rooms.addResources(room, member.needs));
+                        fleet.updateFree(host, free => resources.addResources(free, member.needs));
                     }
                 }
             }
@@ -131,15 +139,15 @@
     };
 }
 
-/** Units of one kind are offered the same; `undefined` for a unit to which workers differ by more than their room. */
-function getKind(unit: types.WaitingUnit): string | undefined {
+/** Units with the same key have the same options; `undefined` for a unit with placement constraints. */
+function getCacheKey(unit: types.WaitingUnit): string | undefined {
     if (!place.isUnrestricted(unit) || unit.maxPerWorker > 0) {
         return undefined;
     }
-    return `${unit.service} ${rooms.getResourcesKey(unit.needs)} ${unit.count} ${unit.tier}`;
+    return `${unit.service} ${resources.getResourcesKey(unit.needs)} ${unit.count} ${unit.tier}`;
 }
 
-/** Groups of each worker, those whose stop costs least first. */
+/** Groups by worker, the cheapest first. */
 function groupByWorker(groups: readonly types.RunningGroup[]): Map<string, types.RunningGroup[]> {
     const byWorker = new Map<string, types.RunningGroup[]>();
     for (const group of groups) {
@@ -159,47 +167,51 @@
     return byWorker;
 }
 
-/** The ways to use a host, from no victim on, each with more members than the one before. */
-function listWays(unit: types.WaitingUnit, host: fleets.Host, candidates: readonly types.RunningGroup[]): Way[] {
-    const room = rooms.copyResources(host.room);
-    const ways: Way[] = [];
-    let fits = place.countFittingMembers(unit, host.worker, room);
+/** The options for a host, in order of the number of victims, each for more members than the previous one. */
+function listHostOptions(
+    unit: types.WaitingUnit,
+    host: fleets.Host,
+    candidates: readonly types.RunningGroup[],
+): HostOption[] {
+    const available = resources.copyResources(host.free);
+    const options: HostOption[] = [];
+    let fits = place.countFittingMembers(unit, host.worker, available);
     let cost = 0;
     if (fits > 0) {
-        ways.push({ host, fits, candidates, victimCount: 0, cost });
+        options.push({ host, fits, candidates, victimCount: 0, cost });
     }
     for (let victimCount = 1; victimCount <= candidates.length && fits < unit.count; victimCount++) {
         const victim = candidates[victimCount - 1]!;
         for (const member of victim.members) {
             if (member.workerId === host.worker.id) {
-                rooms.addResources(room, member.needs);
+                resources.addResources(available, member.needs);
             }
         }
         cost += victim.costCoreSeconds;
-        const more = place.countFittingMembers(unit, host.worker, room);
+        const more = place.countFittingMembers(unit, host.worker, available);
         if (more > fits) {
             fits = more;
-            ways.push({ host, fits, candidates, victimCount, cost });
+            options.push({ host, fits, candidates, victimCount, cost });
         }
     }
-    return ways;
+    return options;
 }
 
-/** The least cost for each member first, then the way that takes more, then the first host. */
-function compareWays(a: Way, b: Way): number {
+/** Sorts by cost per member, then by number of members (descending), then by host order. */
+function compareHostOptions(a: HostOption, b: HostOption): number {
     return a.cost / a.fits - b.cost / b.fits || b.fits - a.fits || a.host.order - b.host.order;
 }
 
-/** The cheapest choice that one rack offers. */
+/** The cheapest choice within a single rack. */
 function findCheapest(
     unit: types.WaitingUnit,
-    offers: readonly Offer[],
-    sparesVictims: boolean,
-): sparing.PreemptionChoice | undefined {
-    let best: sparing.PreemptionChoice | undefined;
-    for (const offer of offers) {
-        offer.whole ??= { choice: takeWays(unit, offer.ways, sparesVictims) };
-        const { choice } = offer.whole;
+    rackOptions: readonly RackOptions[],
+    minimizesVictims: boolean,
+): victimSelection.PreemptionChoice | undefined {
+    let best: victimSelection.PreemptionChoice | undefined;
+    for (const options of rackOptions) {
+        options.wholeUnit ??= { choice: takeHostOptions(unit, options.hostOptions, minimizesVictims) };
+        const { choice } = options.wholeUnit;
         if (choice && (!best || choice.costCoreSeconds < best.costCoreSeconds)) {
             best = choice;
         }
@@ -207,42 +219,42 @@
     return best;
 }
 
-/** The ways of all offers in one order; only as many are looked at as are taken. */
-function* mergeWays(offers: readonly Offer[]): Iterable<Way> {
-    const next = offers.map(() => 0);
+/** Merges the sorted options of all racks lazily. */
+function* mergeHostOptions(rackOptions: readonly RackOptions[]): Iterable<HostOption> {
+    const next = rackOptions.map(() => 0);
     for (;;) {
         let first = -1;
-        let way: Way | undefined;
-        offers.forEach((offer, number) => {
-            const head = offer.ways[next[number]!];
-            if (head && (!way || compareWays(head, way) < 0)) {
-                first = number;
-                way = head;
+        let firstOption: HostOption | undefined;
+        rackOptions.forEach((options, index) => {
+            const head = options.hostOptions[next[index]!];
+            if (head && (!firstOption || compareHostOptions(head, firstOption) < 0)) {
+                first = index;
+                firstOption = head;
             }
         });
-        if (!way) {
+        if (!firstOption) {
             return;
         }
         next[first]!++;
-        yield way;
+        yield firstOption;
     }
 }
 
-/** Takes ways in their order, one a host, until all members have a place. */
-function takeWays(
+/** Takes options in order, at most one per host, until all members are placed. */
+function takeHostOptions(
     unit: types.WaitingUnit,
-    ways: Iterable<Way>,
-    sparesVictims: boolean,
-): sparing.PreemptionChoice | undefined {
-    const chosen = new Map<fleets.Host, Way>();
+    hostOptions: Iterable<HostOption>,
+    minimizesVictims: boolean,
+): victimSelection.PreemptionChoice | undefined {
+    const chosen = new Map<fleets.Host, HostOption>();
     let placed = 0;
-    for (const way of ways) {
-        const before = chosen.get(way.host);
-        if (before && before.fits >= way.fits) {
+    for (const option of hostOptions) {
+        const previous = chosen.get(option.host);
+        if (previous && previous.fits >= option.fits) {
             continue;
         }
-        placed += way.fits - (before?.fits ?? 0);
-        chosen.set(way.host, way);
+        placed += option.fits - (previous?.fits ?? 0);
+        chosen.set(option.host, option);
         if (placed >= unit.count) {
             break;
         }
@@ -250,6 +262,6 @@
     if (placed < unit.count) {
         return undefined;
     }
-    const victims = [...chosen.values()].flatMap(way => way.candidates.slice(0, way.victimCount));
-    return sparing.minimizeVictims(unit, [...chosen.keys()], victims, sparesVictims);
+    const victims = [...chosen.values()].flatMap(option => option.candidates.slice(0, option.victimCount));
+    return victimSelection.minimizeVictims(unit, [...chosen.keys()], victims, minimizesVictims);
 }
--- a/src/decisions/resources.ts
+++ b/src/decisions/resources.ts
@@ -1,72 +1,76 @@
-/** Arithmetic on capacity. */
+/** Arithmetic on resources. */
 import type * as work from "../work/index";
 
+/** Like `work.Resources`, but mutable. */
 export interface MutableResources {
     cpuMillis: number;
     memoryMb: number;
     accelerators: number;
 }
 
-export function copyResources(room: work.Resources): MutableResources {
-    return { cpuMillis: room.cpuMillis, memoryMb: room.memoryMb, accelerators: room.accelerators };
+/** A mutable copy. */
+export function copyResources(resources: work.Resources): MutableResources {
+    return { cpuMillis: resources.cpuMillis, memoryMb: resources.memoryMb, accelerators: resources.accelerators };
 }
 
-export function addResources(to: MutableResources, room: work.Resources, times = 1): void {
-    to.cpuMillis += room.cpuMillis * times;
-    to.memoryMb += room.memoryMb * times;
-    to.accelerators += room.accelerators * times;
+/** Adds `times` times the second argument to the first, in place. */
+export function addResources(to: MutableResources, resources: work.Resources, times = 1): void {
+    to.cpuMillis += resources.cpuMillis * times;
+    to.memoryMb += resources.memoryMb * times;
+    to.accelerators += resources.accelerators * times;
 }
 
-export function subtractResources(from: MutableResources, room: work.Resources, times = 1): void {
-    addResources(from, room, -times);
+/** Subtracts `times` times the second argument from the first, in place. */
+export function subtractResources(from: MutableResources, resources: work.Resources, times = 1): void {
+    addResources(from, resources, -times);
 }
 
-/** Lowers each dimension of `room` to at most that of `bound`. */
-export function capResources(room: MutableResources, bound: work.Resources): void {
-    room.cpuMillis = Math.min(room.cpuMillis, bound.cpuMillis);
-    room.memoryMb = Math.min(room.memoryMb, bound.memoryMb);
-    room.accelerators = Math.min(room.accelerators, bound.accelerators);
+/** Lowers each dimension of `resources` to at most that of `bound`, in place. */
+export function capResources(resources: MutableResources, bound: work.Resources): void {
+    resources.cpuMillis = Math.min(resources.cpuMillis, bound.cpuMillis);
+    resources.memoryMb = Math.min(resources.memoryMb, bound.memoryMb);
+    resources.accelerators = Math.min(resources.accelerators, bound.accelerators);
 }
 
-/** Whether that much is no more than the capacity, in each kind. */
+/** Whether no dimension exceeds the capacity. */
 export function fitsWithin(used: work.Resources, capacity: work.Resources): boolean {
     return used.cpuMillis <= capacity.cpuMillis && used.memoryMb <= capacity.memoryMb
         && used.accelerators <= capacity.accelerators;
 }
 
-/** Leaves no room for anything, also not for what needs none of one kind. */
-export function blockResources(room: MutableResources): void {
-    room.cpuMillis = Math.min(room.cpuMillis, -1);
-    room.memoryMb = Math.min(room.memoryMb, -1);
-    room.accelerators = Math.min(room.accelerators, -1);
+/** Makes every dimension negative, so that not even a task that needs none of a dimension fits. */
+export function blockResources(resources: MutableResources): void {
+    resources.cpuMillis = Math.min(resources.cpuMillis, -1);
+    resources.memoryMb = Math.min(resources.memoryMb, -1);
+    resources.accelerators = Math.min(resources.accelerators, -1);
 }
 
-/** Equal for equal amounts. */
-export function getResourcesKey(room: work.Resources): string {
-    let key = keys.get(room);
+/** A string that is equal for equal resources. */
+export function getResourcesKey(resources: work.Resources): string {
+    let key = keys.get(resources);
     if (key === undefined) {
-        key = `${room.cpuMillis}/${room.memoryMb}/${room.accelerators}`;
-        keys.set(room, key);
+        key = `${resources.cpuMillis}/${resources.memoryMb}/${resources.accelerators}`;
+        keys.set(resources, key);
     }
     return key;
 }
 
-/** The needs of a step are one object, which is asked for again in each pass. */
+/** Cached keys: the needs of a step are one object, whose key is used in each pass. */
 const keys = new WeakMap<work.Resources, string>();
 
-/** How many tasks with these needs fit. */
-export function countFits(room: work.Resources, needs: work.Resources): number {
+/** Number of tasks with these needs that fit. */
+export function countFits(available: work.Resources, needs: work.Resources): number {
     return Math.max(
         0,
         Math.min(
-            countDimension(room.cpuMillis, needs.cpuMillis),
-            countDimension(room.memoryMb, needs.memoryMb),
-            countDimension(room.accelerators, needs.accelerators),
+            countDimension(available.cpuMillis, needs.cpuMillis),
+            countDimension(available.memoryMb, needs.memoryMb),
+            countDimension(available.accelerators, needs.accelerators),
         ),
     );
 }
 
-/** A worker that is over its capacity in one kind takes nothing, whatever the task needs of it. */
+/** A worker that exceeds its capacity in one dimension takes no task, even one that needs none of that dimension. */
 function countDimension(available: number, needed: number): number {
     if (available < 0) {
         return 0;
@@ -74,12 +78,10 @@
     return needed > 0 ? Math.floor(available / needed) : Number.MAX_SAFE_INTEGER;
 }
 
-/**
- * Core-equivalents of a task, by which lost work is weighed.
- * An accelerator counts as eight cores, as the users price it.
- */
+/** Core-equivalents of a task, the unit in which thrown-away work is measured. */
 export function getCoreEquivalents(needs: work.Resources): number {
     return needs.cpuMillis / 1_000 + CORES_PER_ACCELERATOR * needs.accelerators;
 }
 
+/** The exchange rate that the users price by. */
 const CORES_PER_ACCELERATOR = 8;
--- a/src/decisions/stopCost.ts
+++ b/src/decisions/stopCost.ts
@@ -1,37 +1,40 @@
 /**
- * What it costs to stop running work for urgent work, in core-seconds of work thrown away.
+ * The cost of preempting running work, in core-seconds of thrown-away work.
  *
- * What goes wrong when only the thrown away work counts: the work that has just begun is the cheapest, so a job that was
- * stopped is the first to be stopped again as soon as it runs; and work is stopped that ends late for it, beside work
- * that has time. One notices large jobs that never end.
+ * Lost work alone does not suffice: work that has just started would be the cheapest victim, so a preempted job would be
+ * preempted again as soon as it restarts and large jobs would never end. Also, jobs would be made late although others
+ * have slack.
  */
 import * as order from "./order";
 import type * as speed from "./speed";
 
+/** State of running work that may be stopped. */
 export interface StopCostInput {
     /** Work that a stop throws away. */
     readonly lossCoreSeconds: number;
-    /** Urgency of the work as if it had not begun. */
+    /** Urgency of the work as if it had not started. */
     readonly urgency: order.Urgency;
+    /** Time since it started. */
     readonly elapsedMs: number;
-    /** The part of `elapsedMs` that has to be done again. */
+    /** The part of `elapsedMs` that a restart has to repeat. */
     readonly unsavedMs: number;
-    /** How often it was stopped for urgent work before. */
+    /** How often it was preempted before. */
     readonly preemptions: number;
-    /** Whether it does not count that the job ends late for the stop. */
+    /** Whether to omit the cost of making the job late. */
     readonly ignoresLateness?: boolean;
 }
 
-/** Work that was stopped for urgent work rests for what urgent jobs take on average: the next one takes its room. */
+/** Backoff before preempted work restarts: the average duration of urgent jobs, as the next one takes its resources. */
 export const PREEMPTION_BACKOFF_MS = 2_000;
-/** Of a job that ends late for the stop, by priority, in core-seconds of thrown away work. */
+/** Cost of making a job late, by priority. */
 const LATENESS_CORE_SECONDS: readonly number[] = [1_500, 1_000, 330];
-/** Of each earlier stop, beside counting all else once more. */
+/** Fixed cost for each earlier preemption, which also adds the other costs once more. */
 const PREEMPTION_CORE_SECONDS = 100;
 
+/** Cost of stopping the work, in core-seconds. */
 export function getStopCost(input: StopCostInput): number {
-    const once = input.lossCoreSeconds + (input.ignoresLateness ? 0 : getLatenessCost(input));
-    return once * (1 + input.preemptions) + PREEMPTION_CORE_SECONDS * input.preemptions;
+    const singleCost = input.lossCoreSeconds + (input.ignoresLateness ? 0 : getLatenessCost(input));
+    return singleCost * (1 + input.preemptions) + PREEMPTION_CORE_SECONDS * input.preemptions;
 }
 
 function getLatenessCost({ urgency, elapsedMs, unsavedMs }: StopCostInput): number {
@@ -41,21 +44,20 @@
         ...urgency,
         remainingMs: remainingMs + unsavedMs + PREEMPTION_BACKOFF_MS,
     });
-    return stopped > kept ? getLateness(urgency.priority) : 0;
+    return stopped > kept ? getLatenessPenalty(urgency.priority) : 0;
 }
 
 /**
- * Whether a move saves more than the work that it throws away: the job is then in time, or at least not past all worth.
+ * Whether moving a task improves the lateness class of its job by more than the work that the move throws away.
  *
- * Without this condition every urgent task that would end sooner elsewhere is moved, which serves nobody better and throws
- * away more work.
+ * Otherwise every urgent task that would end sooner on another worker is moved, which throws work away without a benefit.
  */
 export function isMoveWorthwhile(urgency: order.Urgency, times: speed.MoveTimes, lossCoreSeconds: number): boolean {
     const stays = order.getLatenessClass({ ...urgency, remainingMs: times.stayMs });
     const moves = order.getLatenessClass({ ...urgency, remainingMs: times.moveMs });
-    return moves < stays && lossCoreSeconds < getLateness(urgency.priority);
+    return moves < stays && lossCoreSeconds < getLatenessPenalty(urgency.priority);
 }
 
-function getLateness(priority: number): number {
+function getLatenessPenalty(priority: number): number {
     return LATENESS_CORE_SECONDS[Math.min(priority, LATENESS_CORE_SECONDS.length - 1)]!;
 }
--- a/src/decisions/types.ts
+++ b/src/decisions/types.ts
@@ -1,128 +1,138 @@
-/** What the placement decisions see, and what they decide. Times are on the monotonic clock, in milliseconds. */
+/** Input and output of a scheduling pass. Times are on the monotonic clock, in milliseconds. */
 import type * as work from "../work/index";
 import type * as mechanism from "./mechanism";
 
-/** The tasks of a worker, by how long they have run. */
+/** Whether a worker has tasks and, if so, whether one has just started. */
 export const Company = {
     Idle: 0,
-    /** All have been at work for a while. */
+    /** All tasks have run for a while. */
     Stable: 1,
-    /** One has just begun. */
+    /** At least one task has just started. */
     RecentStart: 2,
 } as const;
 export type Company = typeof Company[keyof typeof Company];
 
-/** A worker on which tasks may be started now. */
+/** A worker on which tasks may be started. */
 export interface PlaceableWorker {
     readonly id: string;
     readonly service: string;
     readonly rack: string;
     readonly labels: readonly string[];
     readonly capacity: work.Resources;
-    /** Taken by all tasks that run, may run, or are being stopped there. */
+    /** Resources of all tasks that run, may run, or are being stopped on the worker. */
     readonly used: work.Resources;
-    /** The part of `used` that becomes free within the stop time, without any further order. */
+    /** The part of `used` that is released within the stop time without further stops. */
     readonly releasing: work.Resources;
-    /** Tasks there that serve users of their own, and tasks that fill what the others leave over. */
+    /** Number of tasks on the worker that have a latency bound. */
     readonly latencySensitiveTasks: number;
+    /** Number of tasks on the worker that use only spare processor time. */
     readonly bestEffortTasks: number;
     readonly occupancy: Company;
 }
 
-/** How strong a claim to room is: a stronger one may stop what runs on a weaker one. */
+/** Work of a higher tier may preempt work of a lower one. */
 export const Claim = {
-    /** Waits for room. */
+    /** Waits for free resources and preempts nothing. */
     None: 0,
-    /** Priority 0 beyond what the account is guaranteed. */
+    /** Priority 0, beyond the guarantee of the account. */
     Urgent: 1,
-    /** Runs until it is cancelled, and must be at work all the while. */
+    /** Runs until it is cancelled and should not be interrupted. */
     Lasting: 2,
-    /** Within what the account is guaranteed. */
+    /** Within the guarantee of the account. */
     Guaranteed: 3,
 } as const;
 export type Claim = typeof Claim[keyof typeof Claim];
 
-/** How lines and figures call a claim. */
+/** Names of the tiers in log lines and metrics. */
 export const TIER_NAMES = { 0: "none", 1: "urgent", 2: "lasting", 3: "guaranteed" } as const satisfies Readonly<
     Record<Claim, string>
 >;
 
-/** Tasks that start together: one task, or all of a gang. */
+/** Tasks that start together: a single task or a whole gang. */
 export interface WaitingUnit {
     readonly key: string;
-    /** Units of one family are alike: when one has found no place, the others of the pass need not be tried. */
+    /** Units of one class have the same placement outcome: if one cannot be placed, the pass skips the others. */
     readonly equivalenceClass: string;
-    /** The step, within one occurrence, whose tasks `maxPerWorker` bounds. */
+    /** The step, within one occurrence, to whose tasks `maxPerWorker` applies. */
     readonly step: string;
     readonly service: string;
     /** Needs of one member. */
     readonly needs: work.Resources;
+    /** Number of members. */
     readonly count: number;
     readonly gang: boolean;
+    /** Whether all members should be placed in one rack. */
     readonly sameRack: boolean;
+    /** Label that the workers must have. */
     readonly requiredLabel?: string;
+    /** Rack of the data; the tasks take several times as long in any other. */
     readonly dataRack?: string;
+    /** Maximum number of tasks of the step on one worker; 0: no limit. */
     readonly maxPerWorker: number;
-    /** Tasks of the step on each worker, where `maxPerWorker` bounds them. */
+    /** Number of tasks of the step by worker, if `maxPerWorker` is set. */
     readonly stepTasksByWorker?: ReadonlyMap<string, number>;
     readonly tier: Claim;
-    /** Serves users of its own, whose response times suffer from tasks that fill. */
+    /** Has a latency bound, which best-effort tasks on the same worker may violate. */
     readonly latencySensitive: boolean;
-    /** Takes only processor time that others leave over. */
+    /** Uses only spare processor time. */
     readonly bestEffort: boolean;
-    /** Has taken a worker down, as far as is known: it is kept apart from other work. */
+    /** Probably crashed a worker before, so it is isolated from other tasks. */
     readonly mayCrashWorker: boolean;
-    /** Workers on which the unit failed before. */
+    /** Workers that must not run the unit, since it failed there before or is isolated. */
     readonly excludedWorkerIds: ReadonlySet<string>;
-    /** Where set, only these workers may run the unit. */
+    /** If set, only these workers may run the unit. */
     readonly allowedWorkerIds?: ReadonlySet<string>;
     readonly waitedMs: number;
     readonly expectedDurationMs: number;
 }
 
-/** Tasks that are stopped together: one task, or all of a gang. */
+/** Tasks that are stopped together: a single task or a whole gang. */
 export interface RunningGroup {
     readonly key: string;
     readonly tier: Claim;
     readonly members: ReadonlyArray<{ readonly workerId: string; readonly needs: work.Resources; }>;
-    /** Core-seconds of work that a stop throws away. */
+    /** Work that a stop throws away, in core-seconds. */
     readonly lossCoreSeconds: number;
-    /** What a stop costs in all: the work thrown away, and the worth of a job that ends late for it. */
+    /** Total cost of a stop: the thrown-away work and the cost of making the job late. */
     readonly costCoreSeconds: number;
     /** Set for a lasting task at work whose step may miss only some of its tasks at a time. */
     readonly disruptionBudget?: DisruptionBudget;
 }
 
-/** How many tasks of a lasting step may be taken from their work. */
+/** How many tasks of a lasting step may be stopped. */
 export interface DisruptionBudget {
     readonly step: string;
-    /** Beside those that are away now. */
+    /** Number of tasks that may be stopped in addition to those that are not running now. */
     readonly allowedDisruptions: number;
 }
 
+/** What a pass decides on. */
 export interface PlanInput {
     readonly now: number;
     readonly disabledMechanisms?: ReadonlySet<mechanism.Mechanism>;
     readonly workers: readonly PlaceableWorker[];
-    /** In the order in which they are to be served. */
+    /** In the order in which they are served. */
     readonly units: readonly WaitingUnit[];
-    /** Asked for only in a pass that has to stop something: on a large site it is most of the input. */
+    /** Called only if the pass needs preemption: on a large site the groups are most of the input. */
     getRunningGroups(): readonly RunningGroup[];
 }
 
+/** A unit that starts. */
 export interface PlannedStart {
     readonly unit: WaitingUnit;
     /** One worker for each member. */
     readonly workerIds: readonly string[];
 }
 
+/** A group that is stopped. */
 export interface PlannedStop {
     readonly group: RunningGroup;
-    /** The unit that gets the room, and its claim to it. */
+    /** Key of the unit that gets the resources, and its tier. */
     readonly forUnit: string;
     readonly tier: Claim;
 }
 
+/** The decisions of a pass. */
 export interface Plan {
     readonly starts: readonly PlannedStart[];
     readonly stops: readonly PlannedStop[];
