--- a/src/intake/__tests__/intake.test.ts
+++ b/src/intake/__tests__/intake.test.ts
@@ -18,7 +18,7 @@
 };
 const SPEC: work.JobSpec = { payload: "p", steps: [], repeats: 0, firstDueAt: 0, periodMs: 0 };
 const JOB = "00000000000000aa";
-const PATIENCE_MS = 3_000;
+const CALLER_TIMEOUT_MS = 3_000;
 
 interface Opened {
     readonly time: clocks.ManualClock;
@@ -29,13 +29,13 @@
 
 interface OpenOptions {
     readonly decide?: (call: number) => emulator.StoreFault;
-    readonly away?: boolean;
-    /** The store counts as away from so many calls on. */
-    readonly lostAfterCalls?: number;
-    /** Since the store last answered. */
+    readonly isUnreachable?: boolean;
+    /** The store counts as unreachable after this many calls. */
+    readonly unreachableAfterCalls?: number;
+    /** Time since the last answer of the store. */
     readonly silenceMs?: number;
     readonly countsAgeMs?: number;
-    /** The leader's counts, of some queues only or of all. */
+    /** Counts published by the leader; `complete` if they cover all queues. */
     readonly counts?: { readonly counts: Readonly<Record<string, number>>; readonly complete: boolean; };
 }
 
@@ -50,9 +50,10 @@
     const intake = intakes.createIntake({
         store: store.open("a"),
         health: {
-            getAwayMs: () => options.away || calls >= (options.lostAfterCalls ?? Infinity) ? 0 : undefined,
-            getSilenceMs: () => options.silenceMs ?? 0,
-            getAnswerMs: () => 0,
+            getUnreachableMs: () =>
+                options.isUnreachable || calls >= (options.unreachableAfterCalls ?? Infinity) ? 0 : undefined,
+            getTimeSinceAnswerMs: () => options.silenceMs ?? 0,
+            getLatencyMs: () => 0,
         },
         clock: time,
         log: { info: () => undefined, warn: () => undefined, error: () => undefined },
@@ -79,95 +80,95 @@
 }
 
 function createCaller(time: clocks.Clock): intakes.Caller {
-    return { requestId: "r", queue: QUEUE, account: "x", deadlineAt: time.now() + PATIENCE_MS };
+    return { requestId: "r", queue: QUEUE, account: "x", deadlineAt: time.now() + CALLER_TIMEOUT_MS };
 }
 
 describe("a submission", () => {
     interface Case extends OpenOptions {
         readonly name: string;
         readonly kind: intakes.IntakeReply["kind"];
-        readonly mostMs: number;
-        /** Rows of jobs that are there in the end. */
+        readonly maxMs: number;
+        /** Expected rows of jobs in the end. */
         readonly rows: number;
     }
     const cases: readonly Case[] = [
-        { name: "is stored before it is accepted", kind: "accepted", mostMs: 20, rows: 1 },
+        { name: "is stored before it is accepted", kind: "accepted", maxMs: 20, rows: 1 },
         {
-            name: "whose answer was lost is found by repeating it",
+            name: "whose answer was lost is accepted after a retry",
             decide: call => call === 0 ? "loseAnswer" : "none",
             kind: "accepted",
-            mostMs: 1_200,
+            maxMs: 1_200,
             rows: 1,
         },
         {
-            name: "that comes late after all remains one job",
+            name: "that is carried out late and retried creates one job",
             decide: call => call === 0 ? "late" : "none",
             kind: "accepted",
-            mostMs: 1_200,
+            maxMs: 1_200,
             rows: 1,
         },
         {
-            name: "that the store turns away is refused soon",
+            name: "that the store rejects is refused soon",
             decide: () => "refuse",
             kind: "notAccepted",
-            mostMs: 400,
+            maxMs: 400,
             rows: 0,
         },
         {
-            name: "that may have been written is never called refused",
+            name: "that may have been written is undecided, never refused",
             decide: call => call === 0 ? "loseAnswer" : "refuse",
             kind: "undecided",
-            mostMs: PATIENCE_MS,
+            maxMs: CALLER_TIMEOUT_MS,
             rows: 1,
         },
         {
-            // Symptom: callers wait for 2.9 s and are told nothing, though other instances could serve them. Sequence: the
-            // store resets connections; a write has no answer. Cause: it is repeated until the deadline, in vain.
-            name: "is left open at once when the store is lost with its write under way",
+            // Guards against callers that wait 2.9 s for an undecided outcome while other instances could serve them:
+            // the store resets connections, and a write without an answer is repeated in vain until the deadline.
+            name: "is undecided at once if the store becomes unreachable during its write",
             decide: call => call === 0 ? "loseAnswer" : "refuse",
-            lostAfterCalls: 1,
+            unreachableAfterCalls: 1,
             kind: "undecided",
-            mostMs: 1_000,
+            maxMs: 1_000,
             rows: 1,
         },
         {
-            name: "is refused at once, with nothing sent, while the store is away",
-            away: true,
+            name: "is refused at once, and nothing is sent, while the store is unreachable",
+            isUnreachable: true,
             kind: "notAccepted",
-            mostMs: 5,
+            maxMs: 5,
             rows: 0,
         },
         {
-            // Symptom: at the beginning of an outage jobs end with 504, and their callers do not come back. Sequence:
-            // the store falls silent; a job is handed in. Cause: the write has no answer, so nothing can be promised.
-            name: "to a store that has fallen silent is refused for certain, before anything is written",
+            // Guards against submissions with status 504, whose callers do not retry, at the beginning of an outage:
+            // the store falls silent, and the write of a job gets no answer, so its outcome is unknown.
+            name: "to a store that has fallen silent is refused before anything is written",
             decide: () => "silent",
             silenceMs: 400,
             kind: "notAccepted",
-            mostMs: 1_800,
+            maxMs: 1_800,
             rows: 0,
         },
         {
-            name: "that the store answers after a silence is stored",
+            name: "to a store that answers again after a silence is stored",
             silenceMs: 400,
             kind: "accepted",
-            mostMs: 30,
+            maxMs: 30,
             rows: 1,
         },
     ];
-    test.each(cases)("$name", async ({ kind, mostMs, rows, ...options }) => {
+    test.each(cases)("$name", async ({ kind, maxMs, rows, ...options }) => {
         const opened = open(options);
         const { reply, tookMs } = await opened.submit();
         await opened.time.advance(2_000);
         expect(reply.kind).toBe(kind);
-        expect(tookMs).toBeLessThanOrEqual(mostMs);
+        expect(tookMs).toBeLessThanOrEqual(maxMs);
         expect(opened.store.getRows("jobs")).toHaveLength(rows);
     });
 });
 
-describe("a submission that can never be carried out", () => {
-    // Symptom: every leader ends as it reads the jobs. Sequence: a caller hands in a job of a billion tasks, and it is
-    // accepted. Cause: only the length of a body was bounded.
+describe("a submission that can never run", () => {
+    // Guards against leaders that crash while they read the jobs: a job of a billion tasks is accepted if only the
+    // length of the request's body is limited.
     const needs = { cpuMillis: 1, memoryMb: 1, accelerators: 0 };
     const step: work.StepSpec = { ...work.DEFAULT_STEP, count: 1, needs, estimateMs: 1 };
     const cases: ReadonlyArray<readonly [name: string, spec: work.JobSpec]> = [
@@ -189,30 +190,30 @@
         return pending;
     }
 
-    test("is the leader's while that is recent", async () => {
+    test("is the one published by the leader while that is recent", async () => {
         expect(await count(open({}))).toEqual({ kind: "waiting", count: 4 });
     });
 
     test.each([
-        ["none waits of a queue that the leader does not count among all", true, 0],
-        ["it is taken from the rows where the leader's counts had no room for the queue", false, 1],
+        ["is zero for a queue without a count if the leader published the counts of all queues", true, 0],
+        ["is taken from the rows if the published counts had no room for the queue", false, 1],
     ])("%s", async (_name, complete, expected) => {
         const opened = open({ counts: { counts: { other: 9 }, complete } });
         await opened.submit();
         expect(await count(opened)).toEqual({ kind: "waiting", count: expected });
     });
 
-    test("is taken from the rows when no leader has told for a while", async () => {
-        // Symptom: no job is said to wait while some do. Sequence: the leader is lost or has just begun. Cause: its last
-        // counts, or none, were given for the truth.
+    test("is taken from the rows if the published counts are old", async () => {
+        // Guards against a count of zero while jobs wait: the leader is lost or has just begun, and its last counts, or
+        // none, are used.
         const opened = open({ countsAgeMs: 10_000 });
         await opened.submit();
         expect(await count(opened)).toEqual({ kind: "waiting", count: 1 });
     });
 
-    test("from the rows counts those beyond the first page, too", async () => {
-        // Symptom: fewer jobs are said to wait than half of those that do. Sequence: more rows than the store returns
-        // in one answer, and no leader that counts. Cause: only the first page was read.
+    test("from the rows includes those beyond the first page", async () => {
+        // Guards against a count that is too low by more than half: there are more rows than the store returns in one
+        // answer, and only the first page is read.
         const opened = open({ countsAgeMs: 10_000 });
         const waiting = 620;
         for (let number = 0; number < waiting; number++) {
--- a/src/intake/intake.ts
+++ b/src/intake/intake.ts
@@ -1,6 +1,6 @@
 /**
- * Takes callers' requests: submissions, questions and cancellations. Every instance does; what it promises lies in
- * the store before it is promised.
+ * Serves caller requests: submissions, queries and cancellations. Every instance accepts them; each submission or
+ * cancellation is stored before it is confirmed to the caller.
  */
 import type * as catalog from "../catalog/index";
 import type * as clock from "../clock/index";
@@ -8,7 +8,7 @@
 import * as rows from "../rows/index";
 import * as work from "../work/index";
 
-/** How a request ended. Only `notAccepted` says that a submission has not been and will not be carried out. */
+/** Result of a request. Only `notAccepted` guarantees that a submission was not stored and never will be. */
 export type IntakeReply =
     | { readonly kind: "accepted"; }
     | { readonly kind: "state"; readonly state: work.JobState; }
@@ -16,41 +16,45 @@
     | { readonly kind: "waiting"; readonly count: number; }
     | { readonly kind: "unknownJob"; }
     | { readonly kind: "notAccepted"; readonly retryAfterMs: number; readonly reason: string; }
-    /** The job can never be carried out; it is of no use to hand it in again. */
+    /** The job exceeds a limit and can never run; retrying is useless. */
     | { readonly kind: "impossible"; readonly reason: string; }
-    /** A question or a cancellation that could not be taken; nothing was changed. */
+    /** A query or cancellation that could not be served; nothing was changed. */
     | { readonly kind: "unavailable"; readonly retryAfterMs: number; readonly reason: string; }
-    /** The store gave no answer that decides; asking again with the same id is safe. */
+    /** A write got no answer, so its outcome is unknown; retrying with the same id is safe. */
     | { readonly kind: "undecided"; readonly retryAfterMs: number; readonly reason: string; };
 
+/** The caller of one request. */
 export interface Caller {
-    /** For the log: whatever names the request on its way. */
+    /** Correlates log lines about the request. */
     readonly requestId: string;
     readonly queue: catalog.Queue;
     readonly account: string;
-    /** Monotonic time until which the caller waits. */
+    /** Monotonic time until which the caller waits for the reply, in milliseconds. */
     readonly deadlineAt: number;
 }
 
+/** Ports and settings of the intake. */
 export interface IntakeOptions {
     readonly store: rows.RowStore;
-    readonly health: Pick<rows.StoreHealth, "getAwayMs" | "getSilenceMs" | "getAnswerMs">;
+    readonly health: Pick<rows.StoreHealth, "getUnreachableMs" | "getTimeSinceAnswerMs" | "getLatencyMs">;
     readonly clock: clock.Clock;
     readonly log: observe.Log;
     readonly meter: observe.Meter;
-    /** The longest value of a row. */
+    /** Maximum size of a row's value, in bytes. */
     getMaxRowBytes(): number;
-    /** Counts of waiting jobs as the leader last published them, and their age. */
+    /** Waiting jobs of each queue as the leader last published them; `undefined` if no counts are known. */
     getPublishedCounts(): PublishedCounts | undefined;
 }
 
+/** Waiting jobs by queue, as published by the leader. */
 export interface PublishedCounts {
     readonly counts: Readonly<Record<string, number>>;
-    /** Whether a queue that is not among them has no waiting job. */
+    /** Whether a queue without a count has no waiting job; false if the counts did not fit into the lease's row. */
     readonly complete: boolean;
     readonly ageMs: number;
 }
 
+/** Serves requests of callers. Failures are replies, not rejections. */
 export interface Intake {
     submit(caller: Caller, jobId: string, spec: work.JobSpec): Promise<IntakeReply>;
     getState(caller: Caller, jobId: string): Promise<IntakeReply>;
@@ -58,39 +62,40 @@
     count(caller: Caller): Promise<IntakeReply>;
 }
 
-/** One call to the store, 5 ms as a rule; so many times what it takes to answer now are added. */
+/** Timeout of one write, which normally takes 5 ms; `LATENCY_FACTOR` times the store's current latency is added. */
 const CALL_TIMEOUT_MS = 900;
-const ANSWERS_MORE = 2;
-/** Reads are repeated for free, so they are given up sooner. */
+const LATENCY_FACTOR = 2;
+/** Shorter than for writes, since a read can be retried without side effects. */
 const READ_TIMEOUT_MS = 500;
-const LEAST_TIMEOUT_MS = 50;
-/** A store that answered this recently is there: beside its answer of 5 ms, a failure in between is unlikely. */
-const FRESH_MS = 50;
+const MIN_TIMEOUT_MS = 50;
+/** The store counts as reachable for this long after an answer: a failure so soon is rare, as an answer takes 5 ms. */
+const REACHABLE_MS = 50;
 const RETRY_PAUSE_MS = 80;
-/** A caller that is told nothing has to ask again; the reply itself needs this long to get there. */
+/** Reserved for sending the reply: a caller that receives none before its deadline has to ask again. */
 const REPLY_MARGIN_MS = 150;
-/** A store that turns calls away is asked this often; then the caller is better off at another instance. */
-const REFUSALS_BEFORE_REPLY = 3;
-/** When a refused caller should come back: a leader's lease and more, after which most troubles are over. */
+/** After this many refusals or failed reads the caller gets a reply, since another instance may serve it. */
+const MAX_REFUSALS = 3;
+/** Longer than a leader's lease; most disturbances are over by then. */
 const RETRY_AFTER_MS = 1_000;
-/** Counts older than this are taken from the rows instead. */
-const COUNTS_AGE_MS = 2_000;
+/** Published counts older than this are not used; the rows are counted instead. */
+const MAX_COUNTS_AGE_MS = 2_000;
 
+/** Creates the intake of one instance. */
 export function createIntake(options: IntakeOptions): Intake {
     const { store, clock: time, log, meter, health } = options;
 
-    const isStoreAway = () => health.getAwayMs() !== undefined;
-    const getLeftMs = (caller: Caller) => caller.deadlineAt - time.now() - REPLY_MARGIN_MS;
-    /** Longer at a store that answers late: what is given up is carried out all the same, and is asked for again. */
+    const isStoreUnreachable = () => health.getUnreachableMs() !== undefined;
+    const getRemainingMs = (caller: Caller) => caller.deadlineAt - time.now() - REPLY_MARGIN_MS;
+    /** Grows with the latency: a slow store still carries out calls that have timed out, and each retry adds load. */
     const getTimeout = (caller: Caller, usualMs: number) =>
-        Math.max(LEAST_TIMEOUT_MS, Math.min(usualMs + ANSWERS_MORE * health.getAnswerMs(), getLeftMs(caller)));
+        Math.max(MIN_TIMEOUT_MS, Math.min(usualMs + LATENCY_FACTOR * health.getLatencyMs(), getRemainingMs(caller)));
 
     /**
-     * Creates a row that may be there already. Repeating is safe: the condition holds once only.
+     * Creates a row unless it exists. Idempotent: the condition on version 0 holds only once.
      *
-     * After a write without an answer a probe finds the store within the pause, if it was but one answer that was lost.
-     * Where the store is away the outcome stays open at once: nobody here learns more before the caller's deadline, and
-     * another instance, or the caller's next try, may.
+     * A write without an answer is retried after a pause, within which a probe finds the store if only that answer was
+     * lost. If the store is unreachable the outcome is reported as undecided at once: this instance learns no more
+     * before the caller's deadline, while another instance or the caller's retry may.
      */
     const createRow = async (
         caller: Caller,
@@ -99,8 +104,8 @@
         key = jobId,
     ): Promise<IntakeReply> => {
         const row = { table: work.Table.Jobs, part: work.getIntakePart(jobId), key };
-        if (isStoreAway()) {
-            // Nothing is sent, so that the refusal is certain as well as immediate.
+        if (isStoreUnreachable()) {
+            // Nothing is sent, so the refusal is certain as well as immediate.
             return { kind: "notAccepted", retryAfterMs: RETRY_AFTER_MS, reason: "the store cannot be reached" };
         }
         let mayBeWritten = false;
@@ -125,25 +130,28 @@
                     mayBeWritten = true;
                     break;
             }
-            if (!mayBeWritten && refusals >= REFUSALS_BEFORE_REPLY) {
+            if (!mayBeWritten && refusals >= MAX_REFUSALS) {
                 break;
             }
             await time.sleep(RETRY_PAUSE_MS);
         }
-        while (getLeftMs(caller) > 0 && !isStoreAway());
+        while (getRemainingMs(caller) > 0 && !isStoreUnreachable());
         return mayBeWritten
             ? { kind: "undecided", retryAfterMs: RETRY_AFTER_MS, reason }
             : { kind: "notAccepted", retryAfterMs: RETRY_AFTER_MS, reason };
     };
 
-    /** Reads rows until it succeeds, the store is known to be away or the caller's time is over. */
+    /**
+     * Retries a read until it succeeds, fails too often, the store is unreachable or the caller's deadline is near.
+     * Returns the reason if it did not succeed.
+     */
     const read = async (
         caller: Caller,
         readOnce: (timeoutMs: number) => Promise<rows.ReadResult>,
     ): Promise<readonly rows.Row[] | string> => {
         let reason = "the store cannot be reached";
         let failures = 0;
-        while (!isStoreAway() && getLeftMs(caller) > 0 && failures < REFUSALS_BEFORE_REPLY) {
+        while (!isStoreUnreachable() && getRemainingMs(caller) > 0 && failures < MAX_REFUSALS) {
             const result = await readOnce(getTimeout(caller, READ_TIMEOUT_MS));
             if (result.kind === "read") {
                 return result.rows;
@@ -157,7 +165,7 @@
 
     const readRange = (caller: Caller, range: rows.RowRange) => read(caller, timeoutMs => store.read(range, timeoutMs));
     const readProgress = (caller: Caller, jobId: string) =>
-        // The job's own row is the first of its rows; `!` sorts before what follows the id in the others' keys.
+        // Reads only the job's own row: `!` sorts before the "." that follows the id in the keys of its other rows.
         readRange(caller, {
             table: work.Table.Progress,
             part: work.LEADER_PART,
@@ -175,16 +183,14 @@
         });
 
     /**
-     * Reads before the write, where the store has not answered for a moment.
+     * Reads before the write if the store has not answered recently. Returns a reply if nothing is left to write.
      *
-     * What goes wrong without it: a store that falls silent takes writes whose outcome nobody learns. Their callers
-     * can be told neither that the work is accepted nor that it is not, and such a caller does not hand it in again.
-     * One notices jobs that end with 504 at the beginning of each outage. A read that gets no answer leaves nothing
-     * behind, so the refusal that follows is true, and the caller may come back.
-     * Returns the reply where there is nothing left to write.
+     * Writes that are sent just as the store stops answering have an unknown outcome. Their callers get status 504 and
+     * do not submit the job again. A read without an answer has no side effects, so the job can be refused for certain,
+     * and the caller may retry.
      */
     const readBeforeWrite = async (caller: Caller, jobId: string): Promise<IntakeReply | undefined> => {
-        if (health.getSilenceMs() <= FRESH_MS) {
+        if (health.getTimeSinceAnswerMs() <= REACHABLE_MS) {
             return undefined;
         }
         const present = await readSubmission(caller, jobId);
@@ -194,11 +200,13 @@
         return present.some(row => row.key === jobId) ? { kind: "accepted" } : undefined;
     };
 
-    const findObstacle = (spec: work.JobSpec, value: string): IntakeReply | undefined => {
-        const rowBytes = options.getMaxRowBytes();
+    const checkLimits = (spec: work.JobSpec, value: string): IntakeReply | undefined => {
+        const maxRowBytes = options.getMaxRowBytes();
         const bytes = Buffer.byteLength(value);
-        const reason = work.findExceededLimit(spec, rowBytes)
-            ?? (bytes > rowBytes ? `${bytes} bytes, more than the ${rowBytes} of a row` : undefined);
+        const reason = work.findExceededLimit(spec, maxRowBytes)
+            ?? (bytes > maxRowBytes
+                ? `the job takes ${bytes} bytes, more than the ${maxRowBytes} bytes of a row`
+                : undefined);
         return reason === undefined ? undefined : { kind: "impossible", reason };
     };
 
@@ -261,7 +269,7 @@
         }
     };
 
-    /** Without a leader's recent counts: jobs without a progress row have not begun. */
+    /** Counts the rows when the leader's counts are missing or too old: jobs without a progress row have not begun. */
     const countRows = async (caller: Caller): Promise<IntakeReply> => {
         const readTable = (table: string, parts: readonly string[]) =>
             read(caller, timeoutMs => rows.readParts(store, table, parts, timeoutMs));
@@ -292,7 +300,7 @@
                 spec,
             };
             const value = JSON.stringify(submission);
-            const reply = findObstacle(spec, value)
+            const reply = checkLimits(spec, value)
                 ?? await readBeforeWrite(caller, jobId)
                 ?? await createRow(caller, jobId, value);
             return logReply("submit", caller, jobId, reply, startedAt);
@@ -308,7 +316,7 @@
         count: async caller => {
             const startedAt = time.now();
             const published = options.getPublishedCounts();
-            const recent = published && published.ageMs <= COUNTS_AGE_MS ? published : undefined;
+            const recent = published && published.ageMs <= MAX_COUNTS_AGE_MS ? published : undefined;
             const known = recent?.counts[caller.queue.name] ?? (recent?.complete ? 0 : undefined);
             const reply: IntakeReply = known === undefined
                 ? await countRows(caller)
--- a/src/scheduler/__tests__/advice.test.ts
+++ b/src/scheduler/__tests__/advice.test.ts
@@ -7,40 +7,41 @@
 
 interface Case {
     readonly name: string;
-    /** Symptom, sequence, cause. */
-    readonly story: string;
+    /** The failure that the case guards against, and how it comes about. */
+    readonly description: string;
     readonly workers: number;
     readonly members: number;
-    readonly isGood: (workerName: string) => boolean;
+    readonly mayRun: (workerName: string) => boolean;
     readonly endsWithinMs: number;
     readonly fails?: (run: number) => boolean;
 }
 
 const cases: readonly Case[] = [
     {
-        name: "a gang asks on until workers for all its members are known",
-        story: `Symptom: a gang waits for seconds beside free workers. Sequence: of the first 30 workers one may run it.
-            Cause: one worker that may was taken to be enough until its ticket ran out.`,
+        name: "a gang asks the adviser until workers for all its members are known",
+        description:
+            `A gang waits for seconds beside free workers: one of the first 30 workers may run it, and no more are
+            asked about until its ticket expires.`,
         workers: 62,
         members: 3,
-        isGood: id => Number(id.split("-")[1]) % 30 === 0,
+        mayRun: id => Number(id.split("-")[1]) % 30 === 0,
         endsWithinMs: 2_500,
     },
     {
-        name: "a task that failed asks in the name of its step",
-        story: `Symptom: a task that failed once never runs again. Sequence: the only worker that may run it is avoided
-            for its failure, and the adviser is asked for others. Cause: it was asked about the task, which it does
-            not know.`,
+        name: "after a failed run the adviser is asked about the step of the task",
+        description:
+            `A task that failed once never runs again: the only worker that may run it is avoided for its failure,
+            and the adviser is asked for others by the name of the task, which it does not know.`,
         workers: 40,
         members: 1,
-        isGood: id => ["worker-0", "worker-35"].includes(id),
+        mayRun: id => ["worker-0", "worker-35"].includes(id),
         endsWithinMs: 5_000,
         fails: run => run === 1,
     },
 ];
 
 describe("advice", () => {
-    test.each(cases)("$name", async ({ workers, members, isGood, endsWithinMs, fails }) => {
+    test.each(cases)("$name", async ({ workers, members, mayRun: isGood, endsWithinMs, fails }) => {
         const job = fixtures.createJob(1, { count: members, gang: members > 1, needs: WHOLE_MEMORY }, {
             fails: (_task, run) => fails?.(run) ?? false,
         });
--- a/src/scheduler/__tests__/capacity.test.ts
+++ b/src/scheduler/__tests__/capacity.test.ts
@@ -2,33 +2,33 @@
 import * as fixtures from "./fixtures";
 
 const WHOLE = { cpuMillis: 1_000, memoryMb: 1_000, accelerators: 8 };
-/** Longer than a worker takes to tell of a change, shorter than a lease that is renewed meanwhile. */
+/** Longer than a worker takes to report a change, shorter than a lease that is renewed meanwhile. */
 const SLOW_MS = 2_000;
 const SMALL = { ...fixtures.createWorkerInfo(0).capacity, accelerators: 2 };
 
 interface Case {
     readonly name: string;
-    /** While the directory is away, for workers and instances. */
+    /** Time in which the directory is unreachable for workers and instances. */
     readonly awayMs?: readonly [from: number, to: number];
     readonly shrinkAtMs: number;
     readonly growAtMs?: number;
-    /** When a job that needs a whole worker is handed in. */
+    /** When a job that needs a whole worker is submitted. */
     readonly jobAtMs: number;
     readonly state: string;
 }
 
 const cases: readonly Case[] = [
-    { name: "that it has just told of", shrinkAtMs: 500, jobAtMs: 7_000, state: "queued" },
+    { name: "that it has reported", shrinkAtMs: 500, jobAtMs: 7_000, state: "queued" },
     { name: "that has grown again", shrinkAtMs: 500, growAtMs: 6_000, jobAtMs: 9_000, state: "completed" },
     {
-        name: "that it could not tell of, as the directory was away until a moment ago",
+        name: "that it could not report, since the directory was unreachable until just now",
         awayMs: [400, 7_000],
         shrinkAtMs: 500,
         jobAtMs: 7_010,
         state: "queued",
     },
     {
-        name: "that it cannot tell of, as the directory is away",
+        name: "that it cannot report, since the directory is unreachable",
         awayMs: [400, 15_000],
         shrinkAtMs: 500,
         jobAtMs: 8_000,
@@ -36,7 +36,7 @@
     },
 ];
 
-// A worker that had shrunk got tasks by what it had said of itself seconds before.
+// Guards against tasks that start on a worker after it has shrunk, placed by the capacity it reported seconds before.
 describe("no task starts on a worker beyond a capacity", () => {
     test.each(cases)("$name", async ({ awayMs: [fromMs, toMs] = [0, 0], ...testCase }) => {
         const startAt = { ms: 0 };
@@ -68,8 +68,8 @@
     });
 });
 
-// Tasks that were being stopped no longer counted, and others took their room.
-test("what is being stopped on a worker that has shrunk still counts", async () => {
+// Guards against overload while tasks stop: once they no longer count, other tasks are placed in their room too early.
+test("tasks being stopped on a worker that has shrunk still count towards its load", async () => {
     const site = fixtures.openSite({ workers: 1 });
     await site.clock.advance(1_000);
     const running = fixtures.createJob(1, { needs: { ...WHOLE, accelerators: 4 }, estimateMs: 30_000 }, {
@@ -94,8 +94,8 @@
     expect(states).toEqual(urgent.map(() => ({ kind: "state", state: "completed" })));
 });
 
-// A start went out seconds after it had been decided, by what its worker had said before that.
-describe("a start whose row takes long to store is withdrawn when meanwhile its worker", () => {
+// Guards against a start that is sent seconds after its decision, by what its worker had reported before.
+describe("a start whose row takes long to store is withdrawn if meanwhile its worker", () => {
     const changes: ReadonlyArray<readonly [name: string, act: (site: fixtures.TestSite) => void]> = [
         ["drains", site => site.workers.drain("worker-0", 20_000)],
         ["shrinks", site => site.workers.resize("worker-0", SMALL)],
--- a/src/scheduler/__tests__/crashAttribution.test.ts
+++ b/src/scheduler/__tests__/crashAttribution.test.ts
@@ -3,13 +3,13 @@
 
 const AT_ONCE_MS = 10;
 const STEP_MS = 5;
-/** Long enough for a run to have settled in. */
+/** Long enough for a run to be well under way. */
 const AT_WORK_MS = 1_500;
 const CUT_MS = 3_000;
 
 interface Script {
     readonly site: fixtures.TestSite;
-    /** Calls to these workers get no answer. */
+    /** Ids of workers that are cut off: calls to them get no answer. */
     readonly cut: Set<string>;
 }
 
@@ -17,10 +17,10 @@
     readonly name: string;
     readonly job: emulator.EmulatedJob;
     readonly workers: number;
-    /** What becomes of a call to a worker that is not cut off; `number` counts the calls of that kind. */
+    /** Fault of a call to a worker that is not cut off; `number` counts the calls of that kind. */
     readonly decide?: (script: Script, call: string, number: number, worker: string) => emulator.OrderFault;
-    /** As soon as a run of the task has begun. */
-    readonly onStart?: (script: Script, run: number, workerId: string) => void;
+    /** Called as soon as a run of the task has begun. */
+    readonly onRunStart?: (script: Script, run: number, workerId: string) => void;
     readonly runMs: number;
     readonly state: string;
 }
@@ -44,13 +44,13 @@
 const RACKS = 2;
 const PER_RACK = 4;
 
-const poison = fixtures.createJob(1, { estimateMs: 5_000 }, { getCrashAfterMs: () => AT_ONCE_MS });
+const crashing = fixtures.createJob(1, { estimateMs: 5_000 }, { getCrashAfterMs: () => AT_ONCE_MS });
 const sound = fixtures.createJob(1, { estimateMs: 600 });
 
 const cases: readonly Case[] = [
     {
-        name: "a task that takes its workers down is given up in time though no start is answered",
-        job: poison,
+        name: "a task that crashes its workers is failed in time though no start is answered",
+        job: crashing,
         workers: 4,
         decide: (_script, call) => call === "start" ? "loseAnswer" : "none",
         runMs: 60_000,
@@ -58,10 +58,10 @@
     },
     {
         name:
-            "a task that takes its workers down is given up in time beside leaders and racks that are lost with each run",
-        job: poison,
+            "a task that crashes its workers is failed in time though each run loses the leader and the worker's rack",
+        job: crashing,
         workers: RACKS * PER_RACK,
-        onStart: (script, _run, workerId) => {
+        onRunStart: (script, _run, workerId) => {
             crashRackOf(script, workerId);
             killLeader(script);
         },
@@ -69,10 +69,10 @@
         state: "failed",
     },
     {
-        name: "a task that takes its workers down is given up in time though one was draining and a leader was lost",
+        name: "a task that crashes its workers is failed in time though one was draining and a leader was lost",
         job: fixtures.createJob(1, { estimateMs: 5_000 }, { getCrashAfterMs: () => AT_WORK_MS }),
         workers: 4,
-        onStart: (script, run, workerId) => {
+        onRunStart: (script, run, workerId) => {
             switch (run) {
                 case 1:
                     script.site.clock.setTimer(AT_WORK_MS - 200, () => killLeader(script));
@@ -86,7 +86,7 @@
         state: "failed",
     },
     {
-        name: "a task that may have ended before its silent workers crashed is not given up",
+        name: "a task that may have ended before its unreachable workers crashed is not failed",
         job: sound,
         workers: 4,
         decide: ({ site, cut }, call, number, worker) => {
@@ -104,9 +104,10 @@
     },
 ];
 
-// Guards against a start beyond the budget, and against a sound job that is given up: what may be a crash is no crash.
-describe("of runs that are lost without a witness", () => {
-    test.each(cases)("$name", async ({ job, workers, decide, onStart, runMs, state }) => {
+// Guards against starts beyond the crash limit of a task, and against a sound job that is failed because a lost run
+// that need not be a crash was counted as one.
+describe("of runs lost without a confirmed cause", () => {
+    test.each(cases)("$name", async ({ job, workers, decide, onRunStart: onStart, runMs, state }) => {
         const calls = new Map<string, number>();
         const cut = new Set<string>();
         const site: fixtures.TestSite = fixtures.openSite({
@@ -136,8 +137,9 @@
     });
 });
 
-// Guards against a withdrawn start that counts as a lost run, since its leader was lost before that was stored.
-test("of a task that was lost with its worker nothing is stored until its next worker has answered", async () => {
+// Guards against a withdrawn start that is counted as a lost run because the leader was lost before storing the
+// withdrawal.
+test("after the loss of a worker no further run of its task is stored until the next worker has answered", async () => {
     const job = fixtures.createJob(1, { estimateMs: 6_000 });
     const site = await fixtures.openSiteWithJobs({ workers: 4, workerRestartMs: 60_000 }, [job]);
     await site.clock.advance(2_000);
--- a/src/scheduler/__tests__/crashes.test.ts
+++ b/src/scheduler/__tests__/crashes.test.ts
@@ -3,13 +3,13 @@
 
 const AT_ONCE_MS = 10;
 const GANG = { count: 3, gang: true };
-/** As long as the longest lease, and longer. */
+/** Longer than the maximum lease. */
 const LONG_RESTART_MS = 9_000;
 
 interface Case {
     readonly name: string;
     readonly job: emulator.EmulatedJob;
-    /** Beside it; all of them can be done. */
+    /** Jobs that run at the same time and must all complete. */
     readonly others?: readonly emulator.EmulatedJob[];
     readonly workers?: number;
     readonly workerRestartMs?: number;
@@ -57,7 +57,7 @@
         state: "failed",
     },
     {
-        name: "beside a leader that is lost after each crash",
+        name: "while the leader is lost after each crash",
         job: fixtures.createJob(1, {}, crashing(AT_ONCE_MS)),
         events: range(15).map(number => [1_500 + 3_300 * number, killLeader]),
         runMs: 90_000,
@@ -86,19 +86,19 @@
         state: "failed",
     },
     {
-        name: "although it lasts",
+        name: "as a lasting task",
         job: fixtures.createJob(1, { lasting: true }, crashing(AT_ONCE_MS)),
         state: "failed",
     },
     {
-        name: "beside sound tasks, which all come to their end",
+        name: "beside sound tasks, which all complete",
         job: fixtures.createJob(1, {}, crashing(AT_ONCE_MS)),
         others: range(6).map(number => fixtures.createJob(2 + number, { count: 4, estimateMs: 4_000 })),
         runMs: 60_000,
         state: "failed",
     },
     {
-        name: "not at all, but meets workers that crash in groups",
+        name: "never, but runs on workers that crash in groups",
         job: fixtures.createJob(1, { count: 12, estimateMs: 9_000 }),
         workers: 12,
         events: range(6).map(number => [
@@ -109,7 +109,7 @@
         state: "completed",
     },
     {
-        name: "not at all, but its worker crashes twice",
+        name: "never, but has a worker that crashes twice",
         job: fixtures.createJob(1, { estimateMs: 6_000 }),
         events: [
             [3_000, site => crashWorkerOf(site, 1)],
@@ -120,7 +120,7 @@
     },
 ];
 
-/** Takes down the worker at the address of that number, in whichever life it is. */
+/** Crashes the worker at the address of that number, whatever its current incarnation. */
 function crash(site: fixtures.TestSite, number: number): void {
     const id = site.workers.findByAddress(fixtures.createWorkerInfo(number).address);
     if (id !== undefined) {
@@ -128,7 +128,7 @@
     }
 }
 
-/** Has the worker drain that runs the only task of job 1 for the `run`th time. */
+/** Drains the worker that runs the only task of job 1; this must be its run number `run`. */
 function drainWorkerOf(site: fixtures.TestSite, run: number): void {
     const starts = fixtures.getStarts(site, fixtures.createJob(1));
     expect(starts).toHaveLength(run);
@@ -136,15 +136,15 @@
     site.workers.drain(starts.at(-1)!.workerId, 10_000);
 }
 
-/** Takes down the worker that runs the job's task. */
+/** Crashes the worker that runs the job's task. */
 function crashWorkerOf(site: fixtures.TestSite, jobNumber: number): void {
     const latest = fixtures.getStarts(site, fixtures.createJob(jobNumber)).at(-1)!;
     expect(site.workers.countRunning(latest.workerId)).toBe(1);
     site.crashWorker(latest.workerId);
 }
 
-// A task that crashes each worker that starts it was started again without end.
-describe("a task that takes its worker down", () => {
+// Guards against a task that crashes each of its workers and is restarted without end.
+describe("a task that crashes its worker", () => {
     test.each(cases)("$name", async ({ job, others = [], events = [], runMs = 40_000, ...testCase }) => {
         const site = await fixtures.openSiteWithJobs({ workers: 4, ...testCase }, [job, ...others]);
         const startedAt = site.clock.now();
@@ -164,28 +164,28 @@
     });
 });
 
-// The second start of a task that had crashed a worker took sound work down with it, which was placed beside it.
-test("a task that has taken its worker down is started apart from others", async () => {
-    const sound = fixtures.createJob(1, { count: 7, estimateMs: 6_000 });
-    // Longer than its workers are away, so that each crash is certain.
-    const poison = fixtures.createJob(2, { estimateMs: 9_000 }, crashing(AT_ONCE_MS));
-    const site = await fixtures.openSiteWithJobs({ workers: 4 }, [sound]);
+// Guards against sound work that is lost because it runs beside the second start of a task that crashed its worker.
+test("a task that has crashed its worker is started apart from others", async () => {
+    const soundJob = fixtures.createJob(1, { count: 7, estimateMs: 6_000 });
+    // Longer than its workers are down, so that each run certainly ended in the crash.
+    const crashingJob = fixtures.createJob(2, { estimateMs: 9_000 }, crashing(AT_ONCE_MS));
+    const site = await fixtures.openSiteWithJobs({ workers: 4 }, [soundJob]);
     await site.clock.advance(2_000);
-    await fixtures.advanceUntilSettled(site.clock, site.submit(poison, 1));
-    // Arrives as the second run of the task that crashes its workers has begun.
+    await fixtures.advanceUntilSettled(site.clock, site.submit(crashingJob, 1));
+    // Submitted just after the second run of the crashing task has begun.
     await site.clock.advance(3_200);
     const later = fixtures.createJob(3, { count: 3 });
     await fixtures.advanceUntilSettled(site.clock, site.submit(later, 1));
     await site.clock.advance(15_000);
     site.close();
     expect(site.workers.breaches).toEqual([]);
-    expect(fixtures.getStarts(site, poison)).toHaveLength(2);
-    expect(fixtures.getStarts(site, sound)).toHaveLength(14);
+    expect(fixtures.getStarts(site, crashingJob)).toHaveLength(2);
+    expect(fixtures.getStarts(site, soundJob)).toHaveLength(14);
     expect(fixtures.getStarts(site, later)).toHaveLength(3);
 });
 
-// Starts that went to workers which were down already counted as crashes under their task, and a sound job was given up.
-test("a task that was lost with its worker is only sent to a worker that answers", async () => {
+// Guards against a sound job that is failed because starts sent to workers already down count as crashes of its task.
+test("a task lost with its worker is only sent to a worker that answers", async () => {
     const sent: Array<{ worker: string; call: string; isDown: boolean; }> = [];
     const down = new Set<string>();
     const job = fixtures.createJob(1, { estimateMs: 6_000 });
@@ -204,7 +204,7 @@
     crashWorkerOf(site, 1);
     const [first] = fixtures.getStarts(site, job);
     const others = range(4).map(number => `worker-${number}`).filter(worker => worker !== first!.workerId);
-    // They are down as the first worker comes back and the task is found to be lost.
+    // They crash as the first worker restarts and its task is found to be lost.
     await site.clock.advance(2_500);
     others.forEach(worker => {
         down.add(worker);
--- a/src/scheduler/__tests__/failingWorkers.test.ts
+++ b/src/scheduler/__tests__/failingWorkers.test.ts
@@ -4,10 +4,10 @@
 const FAILING = "worker-3";
 
 describe("runs that fail as soon as they begin", () => {
-    // Symptom: urgent jobs end as failed within half a second. Sequence: a worker turns to failing all it starts; the
-    // others are full, so it is free again at once and is given one unit after the other. Cause: only a second failure
-    // spoke against a worker.
-    test("set their worker aside at the first one", async () => {
+    // Guards against urgent jobs that fail within half a second: a worker fails all that it starts while the others are
+    // full, so it is free again at once and gets one unit after the other, if a single failure does not count against
+    // it.
+    test("quarantine their worker after the first failure", async () => {
         const filling = fixtures.createJob(1, { count: 3, needs: WHOLE_WORKER, estimateMs: 3_000 });
         const urgent = [2, 3, 4].map(number => fixtures.createJob(number, { needs: WHOLE_WORKER }));
         const site = await fixtures.openSiteWithJobs({
@@ -32,15 +32,15 @@
         site.close();
     });
 
-    // Symptom: nothing starts for 5 s, beside sound workers. Sequence: a job that can never be done fails with each of
-    // its tasks on another worker. Cause: every failure was held against the worker.
-    test("of a job that can never be done leave most workers in use", async () => {
-        const poisoned = fixtures.createJob(
+    // Guards against 5 s without a start beside sound workers: each task of a job that always fails runs on another
+    // worker, and every failure counts against the worker.
+    test("of a job that always fails leave most workers in use", async () => {
+        const alwaysFailing = fixtures.createJob(
             1,
             { count: 8, estimateMs: 4_000, needs: { cpuMillis: 1_000, memoryMb: 1_000, accelerators: 4 } },
             { durationsMs: [50], fails: () => true },
         );
-        const site = await fixtures.openSiteWithJobs({}, [poisoned]);
+        const site = await fixtures.openSiteWithJobs({}, [alwaysFailing]);
         await site.clock.advance(600);
         const sound = fixtures.createJob(2, { count: 2, needs: WHOLE_WORKER, estimateMs: 1_000 });
         await fixtures.advanceUntilSettled(site.clock, site.submit(sound, 1));
@@ -50,7 +50,7 @@
     });
 });
 
-// A job that had failed on each worker that it fits on waited for another one for good, and was never shown as failed.
+// Guards against a job that has failed on every worker that it fits on and waits forever for another one.
 describe("a job that fails on every worker ends as failed", () => {
     const cases: ReadonlyArray<readonly [name: string, step: Parameters<typeof fixtures.createStep>[0]]> = [
         ["as a task", {}],
--- a/src/scheduler/__tests__/failover.test.ts
+++ b/src/scheduler/__tests__/failover.test.ts
@@ -1,13 +1,13 @@
 import * as emulator from "../../emulator/index";
 import * as fixtures from "./fixtures";
 
-/** Time from the loss of the leader to the first start of a job handed in right after it. */
-async function measureFailoverMs(end: (site: fixtures.TestSite) => void): Promise<number> {
+/** Measures the time from the loss of the leader to the first start of a job that is submitted right after it. */
+async function measureFailoverMs(endLeader: (site: fixtures.TestSite) => void): Promise<number> {
     const site = fixtures.openSite({ instances: 3 });
     await site.clock.advance(1_500);
     const leader = site.getLeader()!;
     const lostAt = site.clock.now();
-    end(site);
+    endLeader(site);
     const job = fixtures.createJob(1);
     await fixtures.advanceUntilSettled(site.clock, site.submit(job, (leader + 1) % 3));
     await site.clock.advance(8_000);
@@ -17,35 +17,35 @@
 
 describe("time without a leader", () => {
     const cases = [
-        { name: "killed", end: (site: fixtures.TestSite) => site.kill(site.getLeader()!), mostMs: 300 },
+        { name: "killed", end: (site: fixtures.TestSite) => site.kill(site.getLeader()!), maxMs: 300 },
         {
-            name: "stopped in good order",
+            name: "shut down cleanly",
             end: (site: fixtures.TestSite) => void site.stop(site.getLeader()!),
-            mostMs: 400,
+            maxMs: 400,
         },
-        { name: "silent", end: (site: fixtures.TestSite) => site.powerOff(site.getLeader()!), mostMs: 1_100 },
+        { name: "silent", end: (site: fixtures.TestSite) => site.powerOff(site.getLeader()!), maxMs: 1_100 },
     ];
-    test.each(cases)("a leader that is $name is succeeded in time", async ({ end, mostMs }) => {
-        expect(await measureFailoverMs(end)).toBeLessThan(mostMs);
+    test.each(cases)("a leader that is $name is replaced in time", async ({ end, maxMs }) => {
+        expect(await measureFailoverMs(end)).toBeLessThan(maxMs);
     });
 });
 
-describe("a leader that alone loses the store", () => {
-    // Symptom: urgent work begins 1.7 s late. Sequence: the store turns the leader away, all others reach it. Cause: the
-    // lease has to lapse, though the leader knows that it cannot renew it.
+describe("a leader that loses the store while other instances reach it", () => {
+    // Guards against urgent work that starts 1.7 s late: the store rejects only the leader's calls, and its successor
+    // waits for the lease to expire although the leader knows that it cannot renew it.
     const LOST_AT_MS = 1_000;
     const cases: ReadonlyArray<{
         readonly name: string;
         readonly fault: emulator.StoreFault;
         /** Instances that lose the store. */
         readonly lost: readonly number[];
-        readonly mostMs: number;
+        readonly maxMs: number;
     }> = [
-        { name: "turned away", fault: "refuse", lost: [0], mostMs: 900 },
-        { name: "in silence", fault: "silent", lost: [0], mostMs: 1_100 },
-        { name: "turned away like another", fault: "refuse", lost: [0, 1], mostMs: 900 },
+        { name: "calls are refused", fault: "refuse", lost: [0], maxMs: 900 },
+        { name: "calls get no answer", fault: "silent", lost: [0], maxMs: 1_100 },
+        { name: "calls of another instance are refused, too", fault: "refuse", lost: [0, 1], maxMs: 900 },
     ];
-    test.each(cases)("is succeeded as soon as it knows: $name", async ({ fault, lost, mostMs }) => {
+    test.each(cases)("is replaced as soon as it notices: $name", async ({ fault, lost, maxMs }) => {
         const site = fixtures.openSite({
             instances: 3,
             storeFaults: time => ({
@@ -62,13 +62,13 @@
         await fixtures.advanceUntilSettled(site.clock, site.submit(job, 2));
         await site.clock.advance(5_000);
         site.close();
-        expect(fixtures.getStarts(site, job)[0]!.at - LOST_AT_MS).toBeLessThan(mostMs);
+        expect(fixtures.getStarts(site, job)[0]!.at - LOST_AT_MS).toBeLessThan(maxMs);
         expect(site.workers.breaches).toEqual([]);
     });
 
-    test("stays where no other reaches the store, and prolongs what runs", async () => {
-        // Symptom: all running work is lost in an outage of the store. Sequence: the leader gives up its term, and
-        // nobody can take it. Cause: it asked nobody whether they could.
+    test("keeps leading if no other instance reaches the store, and renews the leases of running tasks", async () => {
+        // Guards against the loss of all running work in an outage of the store: the leader ends its term without
+        // asking whether another instance can take over, and none can.
         const AWAY_MS = 7_000;
         const site = fixtures.openSite({
             instances: 3,
@@ -87,15 +87,15 @@
     });
 });
 
-describe("a store that comes back to all", () => {
-    // Symptom: after each outage of the store nothing starts for most of a second. Sequence: another instance notices the
-    // return first, and says so to the leader, which gives its term up; whoever leads then reads all jobs and looks at all
-    // workers. Cause: the leader knew of the store's absence from its own last probe only.
+describe("a store that recovers for all instances", () => {
+    // Guards against most of a second without starts after each outage of the store: another instance notices the
+    // recovery first, the leader knows only its own last probe and hands over, and the new leader has to read all jobs
+    // and poll all workers.
     const AWAY_FROM_MS = 3_000;
     const cases = [0, 40, 80, 120, 160].flatMap(laterMs =>
         (["refuse", "silent"] as const).map(fault => ({ fault, awayMs: 4_000 + laterMs }))
     );
-    test.each(cases)("keeps its leader, away for $awayMs ms ($fault)", async ({ fault, awayMs }) => {
+    test.each(cases)("keeps its leader after an outage of $awayMs ms ($fault)", async ({ fault, awayMs }) => {
         const site = fixtures.openSite({
             instances: 9,
             storeFaults: time => ({
@@ -111,27 +111,27 @@
 });
 
 describe("work on a worker that is lost while leaders change", () => {
-    // Symptom: a job stands still for 17 s although most workers are idle. Sequence: its worker goes for good, and at the
-    // same time all instances are killed; one comes back and leads. Cause: the new leader allows for a predecessor that
-    // is cut off and prolongs leases for 9 s, though that predecessor was its own earlier life, which is over.
+    // Guards against a job that makes no progress for 17 s beside idle workers: its worker is lost for good while all
+    // instances are killed, and one restarts and leads. It must not wait the 9 s for which a predecessor that is cut
+    // off may renew leases, since that predecessor was its own earlier incarnation, which has ended.
     const LEASE_MS = 6_500;
-    /** What a leader that is cut off goes on prolonging. */
-    const PROLONGED_MS = 9_000;
+    /** How long a leader that is cut off goes on renewing the leases of tasks. */
+    const CUT_OFF_RENEWAL_MS = 9_000;
     const DOWN_MS = 1_000;
     const cases = [
         {
-            name: "that comes back itself: its lease is waited for",
+            name: "that restarts and leads again waits for the task's lease only",
             act: async (site: fixtures.TestSite) => {
                 const leader = site.getLeader()!;
                 [0, 1].forEach(site.kill);
                 await site.clock.advance(DOWN_MS);
                 site.restart(leader);
             },
-            leastMs: 0,
-            mostMs: DOWN_MS + LEASE_MS + 1_000,
+            minMs: 0,
+            maxMs: DOWN_MS + LEASE_MS + 1_000,
         },
         {
-            name: "that may still be there, with a successor that comes back: the first one's leases are waited for",
+            name: "that may still run, with a successor that restarts: the first one's lease renewals are waited for",
             act: async (site: fixtures.TestSite) => {
                 site.powerOff(site.getLeader()!);
                 await site.clock.advance(3_000);
@@ -140,11 +140,11 @@
                 await site.clock.advance(DOWN_MS);
                 site.restart(successor);
             },
-            leastMs: PROLONGED_MS + LEASE_MS,
-            mostMs: PROLONGED_MS + LEASE_MS + 5_000,
+            minMs: CUT_OFF_RENEWAL_MS + LEASE_MS,
+            maxMs: CUT_OFF_RENEWAL_MS + LEASE_MS + 5_000,
         },
         {
-            name: "that may still be there, with a successor that hands over: the first one's leases are waited for",
+            name: "that may still run, with a successor that hands over: the first one's lease renewals are waited for",
             act: async (site: fixtures.TestSite) => {
                 const first = site.getLeader()!;
                 site.powerOff(first);
@@ -153,11 +153,11 @@
                 await fixtures.advanceUntilSettled(site.clock, site.stop(successor));
                 site.restart(first);
             },
-            leastMs: PROLONGED_MS + LEASE_MS,
-            mostMs: PROLONGED_MS + LEASE_MS + 5_000,
+            minMs: CUT_OFF_RENEWAL_MS + LEASE_MS,
+            maxMs: CUT_OFF_RENEWAL_MS + LEASE_MS + 5_000,
         },
     ];
-    test.each(cases)("a leader $name", async ({ act, leastMs, mostMs }) => {
+    test.each(cases)("a leader $name", async ({ act, minMs, maxMs }) => {
         const site = fixtures.openSite({ instances: 2 });
         await site.clock.advance(1_500);
         const job = fixtures.createJob(1, { estimateMs: 20_000 });
@@ -170,7 +170,7 @@
         await site.clock.advance(30_000);
         site.close();
         const [, second] = fixtures.getStarts(site, job);
-        expect(second!.at - lostAt).toBeGreaterThanOrEqual(leastMs);
-        expect(second!.at - lostAt).toBeLessThan(mostMs);
+        expect(second!.at - lostAt).toBeGreaterThanOrEqual(minMs);
+        expect(second!.at - lostAt).toBeLessThan(maxMs);
     });
 });
--- a/src/scheduler/__tests__/failures.test.ts
+++ b/src/scheduler/__tests__/failures.test.ts
@@ -3,15 +3,15 @@
 import * as fixtures from "./fixtures";
 
 interface Case {
-    /** Symptom, sequence, cause: what the users would see without the guard, and how it comes about. */
     readonly name: string;
-    readonly story: string;
+    /** The failure that the case guards against, and how it comes about. */
+    readonly description: string;
     readonly jobs: readonly emulator.EmulatedJob[];
     readonly instances?: number;
     readonly workers?: number;
     readonly storeFaults?: (time: clocks.Clock) => emulator.StoreFaults;
     readonly workerFaults?: (time: clocks.Clock) => emulator.WorkerFaults;
-    /** What happens while the jobs run: at each time, in milliseconds after they were handed in. */
+    /** Actions while the jobs run, each at a time in milliseconds after their submission. */
     readonly events?: ReadonlyArray<readonly [atMs: number, act: (site: fixtures.TestSite) => void]>;
     readonly runMs: number;
     readonly states?: readonly string[];
@@ -19,8 +19,15 @@
 
 const FROM_START_MS = 1_000;
 
-/** Faults of one kind between two times, by a coin that repeats. */
-function between<T>(time: clocks.Clock, fromMs: number, toMs: number, every: number, fault: T, none: T): () => T {
+/** Returns a function that injects `fault` into every `every`-th call between two times. */
+function createFaultSource<T>(
+    time: clocks.Clock,
+    fromMs: number,
+    toMs: number,
+    every: number,
+    fault: T,
+    none: T,
+): () => T {
     let calls = 0;
     return () => {
         const now = time.now() - FROM_START_MS;
@@ -42,32 +49,33 @@
 
 const cases: readonly Case[] = [
     {
-        name: "a calm day",
-        story: "Nothing fails: every task runs once.",
+        name: "no failures",
+        description: "Nothing fails: every task runs once.",
         jobs: MIXED_JOBS,
         runMs: 12_000,
     },
     {
         name: "the leader is killed",
-        story: `Symptom: tasks run twice. Sequence: a leader dies with orders out; its successor places the same tasks
-            elsewhere. Cause: the successor does not know the orders, unless the rows name them before they go out.`,
+        description:
+            `Tasks run twice: a leader dies with starts under way, and its successor places the same tasks elsewhere,
+            since the rows do not name the starts before they are sent.`,
         jobs: MIXED_JOBS,
         events: [[300, site => site.kill(site.getLeader()!)]],
         runMs: 25_000,
     },
     {
-        name: "the leader is killed as its first orders go out",
-        story: `Symptom: a task runs on two workers. Sequence: the leader dies between storing a placement and the
-            worker's answer. Cause: the successor finds the task on no list and starts it at once, though the order
-            may still be under way.`,
+        name: "the leader is killed as its first starts are sent",
+        description:
+            `A task runs on two workers: the leader dies between storing a placement and the worker's answer, and its
+            successor finds the task on no worker and starts it at once, though the start may still be under way.`,
         jobs: MIXED_JOBS,
         events: [[12, site => site.kill(site.getLeader()!)]],
         runMs: 25_000,
     },
     {
-        name: "every instance is killed and comes back",
-        story: `Symptom: accepted jobs vanish. Sequence: all instances die at once. Cause: something that was promised
-            lay in memory only.`,
+        name: "every instance is killed and restarts",
+        description:
+            "Accepted jobs are lost: all instances die at once, and something confirmed to a caller was not stored.",
         jobs: MIXED_JOBS,
         events: [
             [500, site => [0, 1].forEach(site.kill)],
@@ -76,44 +84,46 @@
         runMs: 30_000,
     },
     {
-        name: "the leader stops in good order",
-        story: `Symptom: seconds without a start at each replacement. Sequence: the leader is stopped. Cause: nobody
-            is told, and the lease has to lapse.`,
+        name: "the leader is shut down cleanly",
+        description:
+            "Nothing starts for seconds at each shutdown: the leader does not release its lease, which has to expire.",
         jobs: MIXED_JOBS,
         events: [[300, site => void site.stop(site.getLeader()!)]],
         runMs: 15_000,
     },
     {
-        name: "orders without an answer are carried out late",
-        story: `Symptom: a task runs twice. Sequence: a start gets no answer, the task is started elsewhere, then the
-            first worker carries the order out. Cause: silence was taken for a refusal.`,
+        name: "starts without an answer are carried out late",
+        description:
+            `A task runs twice: a start without an answer is treated as refused, the task is started elsewhere, and
+            then the first worker carries out the start.`,
         jobs: MIXED_JOBS,
         workerFaults: time => {
-            const next = between<emulator.OrderFault>(time, 0, 4_000, 3, "late", "none");
+            const next = createFaultSource<emulator.OrderFault>(time, 0, 4_000, 3, "late", "none");
             return { decide: (_id, call) => call === "start" ? next() : "none", lateMs: 2_500, getSlowdown: () => 1 };
         },
         runMs: 40_000,
     },
     {
         name: "answers of workers are lost",
-        story: `Symptom: a task runs twice, or never again. Sequence: a worker carries an order out and the answer is
-            lost. Cause: the order was repeated under a new run without looking first.`,
+        description:
+            `A task runs twice, or never again: a worker carries out a command, its answer is lost, and the command is
+            repeated as a new run without polling the worker first.`,
         jobs: MIXED_JOBS,
         workerFaults: time => {
-            const next = between<emulator.OrderFault>(time, 0, 4_000, 4, "loseAnswer", "none");
+            const next = createFaultSource<emulator.OrderFault>(time, 0, 4_000, 4, "loseAnswer", "none");
             return { decide: () => next(), lateMs: 0, getSlowdown: () => 1 };
         },
         runMs: 40_000,
     },
     {
         name: "answers of the store are lost, writes come late",
-        story:
-            `Symptom: a task runs twice after a takeover. Sequence: a write gets no answer, a newer one succeeds, then
-            the first is carried out and undoes it. Cause: the write was not bound to the row's version.`,
+        description:
+            `A task runs twice after a takeover: a write without an answer is carried out after a newer one and undoes
+            it, since it is not conditional on the row's version.`,
         jobs: MIXED_JOBS,
         storeFaults: time => {
-            const lose = between<emulator.StoreFault>(time, 0, 5_000, 4, "loseAnswer", "none");
-            const late = between<emulator.StoreFault>(time, 0, 5_000, 5, "late", "none");
+            const lose = createFaultSource<emulator.StoreFault>(time, 0, 5_000, 4, "loseAnswer", "none");
+            const late = createFaultSource<emulator.StoreFault>(time, 0, 5_000, 5, "late", "none");
             return {
                 decide: (_caller, call) => {
                     if (call !== "transact") {
@@ -129,20 +139,22 @@
         runMs: 40_000,
     },
     {
-        name: "the store is away for five seconds",
-        story: `Symptom: all running work is lost. Sequence: the store is away for longer than the leader's lease.
-            Cause: the leader stops prolonging what runs although nobody can have taken over.`,
+        name: "the store is unreachable for five seconds",
+        description:
+            `All running work is lost: the store is unreachable for longer than the leader's lease, and the leader
+            stops renewing the leases of running tasks although nobody can have taken over.`,
         jobs: [fixtures.createJob(1, { count: 4, estimateMs: 9_000 })],
         storeFaults: time => ({
-            decide: between<emulator.StoreFault>(time, 2_000, 7_000, 1, "silent", "none"),
+            decide: createFaultSource<emulator.StoreFault>(time, 2_000, 7_000, 1, "silent", "none"),
             lateMs: 0,
         }),
         runMs: 14_000,
     },
     {
-        name: "the leader alone loses the store and wakes up later",
-        story: `Symptom: two leaders order at once. Sequence: the store turns the leader away, another takes over, the
-            first goes on. Cause: its lease was over and it did not look.`,
+        name: "only the leader loses the store, and reaches it again later",
+        description:
+            `Two leaders send commands at once: only the leader's calls to the store fail, another instance takes
+            over, and the first goes on without noticing that its lease has expired.`,
         jobs: MIXED_JOBS,
         storeFaults: time => ({
             decide: caller => {
@@ -154,17 +166,19 @@
         runMs: 40_000,
     },
     {
-        name: "a worker dies and another life takes its place",
-        story: `Symptom: its tasks never end. Sequence: a worker crashes with work. Cause: the work counts as running
-            for ever, since nobody hears of its end.`,
+        name: "a worker is lost for good",
+        description:
+            `Its tasks never end: a worker crashes while it runs tasks, and they count as running forever, since
+            nobody reports their end.`,
         jobs: MIXED_JOBS,
         events: [[600, site => site.workers.kill("worker-0", false)]],
         runMs: 40_000,
     },
     {
-        name: "workers are cut off for three seconds and run on",
-        story: `Symptom: a task runs twice. Sequence: a worker cannot be reached and its tasks are started elsewhere
-            while it works on. Cause: silence was taken for death before the granted lease was over.`,
+        name: "workers are cut off for three seconds and keep running",
+        description:
+            `A task runs twice: a worker is unreachable and counts as dead before its granted lease has expired, so
+            its tasks are started elsewhere while it still runs them.`,
         jobs: MIXED_JOBS,
         workerFaults: time => ({
             decide: id => {
@@ -177,9 +191,10 @@
         runMs: 40_000,
     },
     {
-        name: "tasks on one worker stand still",
-        story: `Symptom: jobs never end. Sequence: a worker answers every look, and its tasks make no progress. Cause:
-            a held lease was taken for progress.`,
+        name: "tasks on one worker are stalled",
+        description:
+            `Jobs never end: a worker answers every poll while its tasks make no progress, and a renewed lease is
+            taken for progress.`,
         jobs: [fixtures.createJob(1, { count: 8, needs: { cpuMillis: 1_000, memoryMb: 1_000, accelerators: 4 } })],
         workerFaults: () => ({
             decide: () => "none",
@@ -190,7 +205,8 @@
     },
     {
         name: "a run fails and the next one succeeds",
-        story: "A task that fails once is run again, elsewhere; a gang's other members end with it and start together.",
+        description:
+            "A task that failed is run again on another worker; other members of its gang end and restart with it.",
         jobs: [
             fixtures.createJob(1, { count: 3 }, { fails: (task, run) => task.endsWith(".1") && run === 1 }),
             fixtures.createJob(2, { count: 3, gang: true }, { fails: (task, run) => task.endsWith(".1") && run === 1 }),
@@ -199,15 +215,15 @@
     },
     {
         name: "a job whose tasks always fail ends as failed",
-        story: `Symptom: a job that cannot be done takes room for ever. Cause: attempts were not counted across runs.`,
+        description: "A job that always fails occupies workers forever: its attempts are not counted across runs.",
         jobs: [fixtures.createJob(1, { count: 2 }, { fails: () => true })],
         runMs: 15_000,
         states: ["failed"],
     },
     {
         name: "attempts are counted across a takeover",
-        story: `Symptom: more runs than the queue allows. Sequence: the leader dies after a failed run. Cause: the count
-            was not stored with the end.`,
+        description: `A task runs more often than its queue allows: the leader dies after a failed run, and the count of
+            attempts is not stored with the end of the run.`,
         jobs: [fixtures.createJob(1, { count: 1 }, { fails: () => true })],
         events: [[2_300, site => site.kill(site.getLeader()!)]],
         runMs: 25_000,
@@ -215,24 +231,24 @@
     },
 ];
 
-/** As callers do: where the outcome is open they ask again with the same id. */
-async function handIn(site: fixtures.TestSite, job: emulator.EmulatedJob): Promise<void> {
+/** Submits a job as callers do: while the outcome is undecided they retry with the same id. */
+async function submitUntilDecided(site: fixtures.TestSite, job: emulator.EmulatedJob): Promise<void> {
     let reply = await fixtures.advanceUntilSettled(site.clock, site.submit(job, 1));
-    for (let again = 0; again < MOST_REPEATS && reply.kind === "undecided"; again++) {
+    for (let retry = 0; retry < MAX_RETRIES && reply.kind === "undecided"; retry++) {
         reply = await fixtures.advanceUntilSettled(site.clock, site.submit(job, 1));
     }
     expect(reply.kind).toBe("accepted");
 }
 
-/** Callers try five times. */
-const MOST_REPEATS = 4;
+/** Callers try five times in total. */
+const MAX_RETRIES = 4;
 
 describe("jobs under failures", () => {
     test.each(cases)("$name", async testCase => {
         const site = fixtures.openSite(testCase);
         await site.clock.advance(FROM_START_MS);
         for (const job of testCase.jobs) {
-            await handIn(site, job);
+            await submitUntilDecided(site, job);
         }
         const startedAt = site.clock.now();
         for (const [atMs, act] of testCase.events ?? []) {
--- a/src/scheduler/__tests__/fixtures.ts
+++ b/src/scheduler/__tests__/fixtures.ts
@@ -1,3 +1,4 @@
+/** Emulated sites, jobs and workers for tests of the scheduler. */
 import type * as catalogs from "../../catalog/index";
 import * as clocks from "../../clock/index";
 import type * as decisions from "../../decisions/index";
@@ -6,6 +7,7 @@
 import * as telemetry from "../../telemetry/index";
 import * as work from "../../work/index";
 
+/** Creates worker `worker-N`; `perRack` consecutive workers share a rack. */
 export function createWorkerInfo(number: number, perRack = 4): leader.WorkerInfo {
     const rack = `r${Math.floor(number / perRack)}`;
     return {
@@ -35,6 +37,7 @@
     };
 }
 
+/** Three queues on one service, and an account with a guarantee of 16 accelerators. */
 export const CATALOG: catalogs.Catalog = {
     version: 1,
     queues: [createQueue("urgent", 0, 2), createQueue("plan", 1, 2), createQueue("batch", 2, 4)],
@@ -43,6 +46,7 @@
     limits: { headerBytes: 16_384, bodyBytes: 262_144, headerTimeoutMs: 3_000, idleTimeoutMs: 15_000 },
 };
 
+/** Creates a step of one task on one accelerator; `fields` override its fields. */
 export function createStep(fields: Partial<work.StepSpec> = {}): work.StepSpec {
     return {
         ...work.DEFAULT_STEP,
@@ -53,7 +57,7 @@
     };
 }
 
-/** A job of one step; `fields` go to the step. */
+/** Creates a job of one step; `fields` override fields of the step, `job` those of the job. */
 export function createJob(
     number: number,
     fields: Partial<work.StepSpec> = {},
@@ -70,13 +74,15 @@
     };
 }
 
+/** An emulated site on a manual clock that collects log lines and metrics. */
 export interface TestSite extends emulator.Site {
     readonly clock: clocks.ManualClock;
     readonly lines: ReadonlyArray<Readonly<Record<string, unknown>>>;
-    /** Of all instances together. */
+    /** Metrics shared by all instances. */
     readonly metrics: telemetry.Metrics;
 }
 
+/** Opens a site; by default with two instances and four workers, without faults. */
 export function openSite(options: {
     readonly instances?: number;
     readonly workers?: number;
@@ -86,7 +92,7 @@
     readonly isDirectoryUnreachable?: (time: clocks.Clock) => boolean;
     readonly policy?: decisions.Policy;
     readonly adviser?: leader.Adviser;
-    /** Machines `m0`, `m1` … lie beneath the workers of these numbers. */
+    /** Machines `m0`, `m1` … host the workers of the same numbers. */
     readonly machines?: (time: clocks.Clock) => emulator.EmulatedMachines;
     readonly storeFaults?: (time: clocks.Clock) => Parameters<typeof emulator.createSite>[0]["storeFaults"];
     readonly storePartMs?: number;
@@ -95,14 +101,14 @@
     const time = clocks.createManualClock(1_000_000);
     const metrics = telemetry.createMetrics();
     const lines: Array<Record<string, unknown>> = [];
-    const keep = (level: string) => (event: string, fields?: Readonly<Record<string, unknown>>) => {
+    const recordLine = (level: string) => (event: string, fields?: Readonly<Record<string, unknown>>) => {
         lines.push({ at: Math.round(time.now()), level, event, ...fields });
     };
     const machines = options.machines?.(time);
     const workers = Array.from({ length: options.workers ?? 4 }, (_, number) => createWorkerInfo(number));
     const site = emulator.createSite({
         clock: time,
-        log: { info: keep("info"), warn: keep("warn"), error: keep("error") },
+        log: { info: recordLine("info"), warn: recordLine("warn"), error: recordLine("error") },
         meter: metrics.meter,
         instances: options.instances ?? 2,
         workers,
@@ -122,7 +128,7 @@
     return { ...site, clock: time, lines, metrics };
 }
 
-/** Opens a site, lets a leader be found, and hands the jobs in. */
+/** Opens a site, waits for the election of a leader, and submits the jobs. */
 export async function openSiteWithJobs(
     options: Parameters<typeof openSite>[0],
     jobs: readonly emulator.EmulatedJob[],
@@ -135,12 +141,12 @@
     return site;
 }
 
-/** Starts of a job's tasks, in order. */
+/** Returns the starts of a job's tasks on workers, in order. */
 export function getStarts(site: TestSite, job: emulator.EmulatedJob) {
     return site.workers.starts.filter(start => start.task.startsWith(job.jobId));
 }
 
-/** Advances the clock until the promise settles, at most `ms`. */
+/** Advances the clock until the promise settles, by at most `ms` milliseconds, and returns the promise. */
 export async function advanceUntilSettled<T>(time: clocks.ManualClock, promise: Promise<T>, ms = 5_000): Promise<T> {
     let settled = false;
     void promise.then(() => {
--- a/src/scheduler/__tests__/metrics.test.ts
+++ b/src/scheduler/__tests__/metrics.test.ts
@@ -1,5 +1,5 @@
-// Symptom: an operator looks for a figure that the pages name, and the instance does not serve it. Sequence: a metric
-// is renamed, or its last use goes away. Cause: pages, catalogue and code are changed one without the others.
+// Guards against a documented metric that no instance serves: it was renamed, or its last use was removed, and the page
+// for operators, METRICS and the code were not changed together.
 import * as fs from "node:fs";
 import * as path from "node:path";
 import * as observe from "../../observe/index";
@@ -10,8 +10,8 @@
 const WHOLE_MEMORY = { cpuMillis: 1_000, memoryMb: 65_536, accelerators: 1 };
 const NAMES = Object.keys(observe.METRICS) as observe.MetricName[];
 
-/** A day on which everything happens that is counted. */
-async function playDay(): Promise<string> {
+/** Runs a site through everything that is counted, and returns its metrics as text. */
+async function runSiteWithFailures(): Promise<string> {
     const long = { estimateMs: 20_000, needs: WHOLE_MEMORY };
     const failing = fixtures.createJob(1, { estimateMs: 500 }, { fails: () => true });
     const serving = { ...fixtures.createStep({ lasting: true, targetMs: 100 }), image: "serves" };
@@ -47,7 +47,7 @@
     for (let line = 0; line < 2_000; line++) {
         log.info("line");
     }
-    const passing = relay.createRelay({
+    const forwarding = relay.createRelay({
         isConfigurationFresh: () => true,
         clock: site.clock,
         log,
@@ -67,7 +67,7 @@
         deadlineMs: 1_000,
         body: "",
     };
-    await passing.answer(request, async () => ({ status: 503 }));
+    await forwarding.answer(request, async () => ({ status: 503 }));
     const text = site.metrics.render();
     site.close();
     return text;
@@ -77,10 +77,10 @@
     let served: string;
 
     beforeAll(async () => {
-        served = await playDay();
+        served = await runSiteWithFailures();
     });
 
-    test.each(NAMES)("%s has a value on a day with trouble, under its labels", name => {
+    test.each(NAMES)("%s has a value under its labels after failures of all kinds", name => {
         const { kind, labels } = observe.METRICS[name];
         const suffix = kind === "histogram" ? "_count" : "";
         const pattern = labels.map(label => `${label}="[^"]*"`).join(",");
--- a/src/scheduler/__tests__/preemption.test.ts
+++ b/src/scheduler/__tests__/preemption.test.ts
@@ -1,13 +1,13 @@
 import * as fixtures from "./fixtures";
 
-/** Takes a worker's whole memory, so that one such task fits on each worker. */
+/** Takes the whole memory of a worker, so that only one such task fits on each. */
 const WHOLE_MEMORY = { cpuMillis: 1_000, memoryMb: 65_536, accelerators: 1 };
 const LONG = { estimateMs: 20_000, needs: WHOLE_MEMORY };
 
-describe("work that gives way to urgent work", () => {
-    test("is not stopped again while other work can give way", async () => {
-        // Symptom: a large job never ends under a steady load of urgent work. Sequence: it is stopped for an urgent
-        // job, runs again, and the next urgent job comes. Cause: work that has just begun is the cheapest to stop.
+describe("work preempted for urgent work", () => {
+    test("is not preempted again while other work can be preempted", async () => {
+        // Guards against a large job that never ends under a steady load of urgent work: it is preempted, runs again,
+        // and is preempted for the next urgent job, since work that has just begun is the cheapest to stop.
         const site = await fixtures.openSiteWithJobs({ workers: 2 }, [fixtures.createJob(1, LONG, { queue: "batch" })]);
         await site.clock.advance(500);
         const second = fixtures.createJob(2, LONG, { queue: "batch" });
--- a/src/scheduler/__tests__/restarts.test.ts
+++ b/src/scheduler/__tests__/restarts.test.ts
@@ -2,12 +2,12 @@
 import * as fixtures from "./fixtures";
 
 const WORKERS = 2;
-/** Enough for several ends on each worker before it starts again. */
+/** Enough tasks for several ends on each worker before it restarts. */
 const EARLIER_JOB = fixtures.createJob(1, { count: 12, estimateMs: 500 });
 const EARLIER_MS = 3_000;
 const DOWN_MS = 750;
 
-/** A site whose workers have all started again under their ids, after ends that were recorded. */
+/** Opens a site whose workers have all restarted under the same ids after ends that were recorded. */
 async function openRestartedSite(): Promise<fixtures.TestSite> {
     const site = await fixtures.openSiteWithJobs({ workers: WORKERS }, [EARLIER_JOB]);
     await site.clock.advance(EARLIER_MS);
@@ -19,29 +19,30 @@
 }
 
 interface Case {
-    readonly failure: string;
+    readonly name: string;
     readonly job: emulator.EmulatedJob;
     readonly state: string;
-    /** Of its first task. */
+    /** Expected runs of the job's first task. */
     readonly runs: number;
 }
 
-// Each guards against ends of a worker's next life that are passed over, and acknowledged by the numbers of the life before.
+// Guards against task ends that are ignored after a worker has restarted, since their sequence numbers are compared
+// with those that were acknowledged to its earlier incarnation.
 const cases: readonly Case[] = [
     {
-        failure: "a task that ended well on a restarted worker is started again",
+        name: "a task that completes on a restarted worker is not started again",
         job: fixtures.createJob(2, { estimateMs: 1_200 }),
         state: "completed",
         runs: 1,
     },
     {
-        failure: "a run that failed on a restarted worker is not counted",
+        name: "a run that fails on a restarted worker is counted",
         job: fixtures.createJob(2, { estimateMs: 1_200 }, { fails: () => true }),
         state: "failed",
         runs: 2,
     },
     {
-        failure: "a step is not started though the one before has ended on a restarted worker",
+        name: "a step starts after the one before it has completed on a restarted worker",
         job: {
             ...fixtures.createJob(2),
             spec: {
--- a/src/scheduler/__tests__/scheduler.test.ts
+++ b/src/scheduler/__tests__/scheduler.test.ts
@@ -4,13 +4,13 @@
 const WHOLE_WORKER = { cpuMillis: 1_000, memoryMb: 1_000, accelerators: 8 };
 const HALF_WORKER = { cpuMillis: 1_000, memoryMb: 1_000, accelerators: 4 };
 
-async function stateOf(site: fixtures.TestSite, jobId: string): Promise<string> {
+async function getJobState(site: fixtures.TestSite, jobId: string): Promise<string> {
     const reply = await fixtures.advanceUntilSettled(site.clock, site.getState(jobId, 1));
     return reply.kind === "state" ? reply.state : reply.kind;
 }
 
 describe("steps and occurrences", () => {
-    test("a step begins when all tasks of the steps before it are done", async () => {
+    test("a step begins when all tasks of the steps before it are completed", async () => {
         const job = fixtures.createJob(1, {}, {
             spec: {
                 payload: "",
@@ -25,11 +25,11 @@
         await site.clock.advance(1_500);
         expect(fixtures.getStarts(site, job).map(start => start.task.split(".")[2])).toEqual(["0", "0", "0"]);
         await site.clock.advance(3_000);
-        expect(await stateOf(site, job.jobId)).toBe("completed");
+        expect(await getJobState(site, job.jobId)).toBe("completed");
         site.close();
     });
 
-    test("each occurrence starts when it is due and not before", async () => {
+    test("each occurrence starts when it is due, not before", async () => {
         const job = fixtures.createJob(1);
         const dueAt = 1_000_000 + 3_000;
         const timed = { ...job, spec: { ...job.spec, repeats: 3, firstDueAt: dueAt, periodMs: 1_500 } };
@@ -41,11 +41,11 @@
             expect(at).toBeGreaterThanOrEqual(dueAt + number * 1_500);
             expect(at).toBeLessThan(dueAt + number * 1_500 + 600);
         });
-        expect(await stateOf(site, job.jobId)).toBe("completed");
+        expect(await getJobState(site, job.jobId)).toBe("completed");
         site.close();
     });
 
-    test("no more tasks of a step on one worker than it allows", async () => {
+    test("a step starts at most maxPerWorker of its tasks on one worker", async () => {
         const job = fixtures.createJob(1, { count: 6, maxPerWorker: 1 });
         const site = await fixtures.openSiteWithJobs({ workers: 4 }, [job]);
         await site.clock.advance(1_000);
@@ -57,7 +57,7 @@
 });
 
 describe("cancellation", () => {
-    test("a cancelled job's tasks are stopped at once, and none starts", async () => {
+    test("cancelling a job stops its tasks at once, and no more of them start", async () => {
         const job = fixtures.createJob(1, { count: 4, estimateMs: 9_000 });
         const site = await fixtures.openSiteWithJobs({}, [job]);
         await site.clock.advance(1_000);
@@ -68,38 +68,38 @@
         await site.clock.advance(10_000);
         expect(fixtures.getStarts(site, job)).toHaveLength(before);
         expect(site.workers.doneCounts.size).toBe(0);
-        expect(await stateOf(site, job.jobId)).toBe("cancelled");
+        expect(await getJobState(site, job.jobId)).toBe("cancelled");
         site.close();
     });
 
-    test("a job that nobody handed in is unknown, to whoever asks", async () => {
-        const handedIn = fixtures.createJob(1);
-        const site = await fixtures.openSiteWithJobs({}, [handedIn]);
+    test("a job that was never submitted is unknown to queries and cancellations", async () => {
+        const submitted = fixtures.createJob(1);
+        const site = await fixtures.openSiteWithJobs({}, [submitted]);
         site.registerJob(fixtures.createJob(2));
         const other = fixtures.createJob(2).jobId;
-        expect(await stateOf(site, other)).toBe("unknownJob");
+        expect(await getJobState(site, other)).toBe("unknownJob");
         expect((await fixtures.advanceUntilSettled(site.clock, site.cancel(other, 0))).kind).toBe("unknownJob");
         site.close();
     });
 });
 
-describe("room", () => {
-    test("work within a guarantee starts in time on a full service, with the least work stopped", async () => {
+describe("placement and preemption", () => {
+    test("work within a guarantee starts in time on a full service", async () => {
         const filler = fixtures.createJob(1, { count: 8, needs: HALF_WORKER, estimateMs: 30_000 }, { queue: "batch" });
         const urgent = fixtures.createJob(2, { count: 2, gang: true, needs: WHOLE_WORKER }, { queue: "urgent" });
         const site = await fixtures.openSiteWithJobs({ workers: 4 }, [filler]);
         await site.clock.advance(3_000);
-        const handedInAt = site.clock.now();
+        const submittedAt = site.clock.now();
         await fixtures.advanceUntilSettled(site.clock, site.submit(urgent, 0));
         await site.clock.advance(2_000);
         const starts = fixtures.getStarts(site, urgent);
         expect(starts).toHaveLength(2);
-        expect(Math.max(...starts.map(start => start.at)) - handedInAt).toBeLessThan(1_500);
+        expect(Math.max(...starts.map(start => start.at)) - submittedAt).toBeLessThan(1_500);
         expect(site.workers.breaches).toEqual([]);
         site.close();
     });
 
-    test("for urgent work what saves is stopped before what does not, however long it has run", async () => {
+    test("urgent work preempts tasks with checkpoints before those without, however long they have run", async () => {
         const saving = fixtures.createJob(1, {
             count: 2,
             needs: WHOLE_WORKER,
@@ -120,23 +120,23 @@
         site.close();
     });
 
-    test("what was stopped for urgent work leaves the room alone for a while", async () => {
-        // Symptom: the same work is started and stopped several times in a row. Sequence: it is stopped for an urgent
-        // job, starts again in the room of the next one that ends, and is stopped for the one after that.
+    test("preempted work is not started again for a while", async () => {
+        // Guards against work that is started and preempted several times in a row: it is preempted for an urgent job,
+        // starts again as soon as one of these ends, and is preempted for the next one.
         const plain = fixtures.createJob(1, { count: 2, needs: WHOLE_WORKER, estimateMs: 30_000 }, { queue: "batch" });
         const urgent = fixtures.createJob(2, { needs: WHOLE_WORKER, estimateMs: 500 }, { queue: "urgent" });
         const site = await fixtures.openSiteWithJobs({ workers: 2 }, [plain]);
         await site.clock.advance(2_000);
         await fixtures.advanceUntilSettled(site.clock, site.submit(urgent, 0));
         await site.clock.advance(1_500);
-        expect(await stateOf(site, urgent.jobId)).toBe("completed");
+        expect(await getJobState(site, urgent.jobId)).toBe("completed");
         expect(fixtures.getStarts(site, plain)).toHaveLength(2);
         await site.clock.advance(2_000);
         expect(fixtures.getStarts(site, plain)).toHaveLength(3);
         site.close();
     });
 
-    test("a lasting task is started again however it ends, also on a full service", async () => {
+    test("a lasting task is restarted whenever it ends, also on a full service", async () => {
         const filler = fixtures.createJob(1, { count: 7, needs: HALF_WORKER, estimateMs: 60_000 }, { queue: "plan" });
         const lasting = fixtures.createJob(2, { lasting: true, needs: HALF_WORKER }, { queue: "batch" });
         const site = await fixtures.openSiteWithJobs({ workers: 4 }, [lasting, filler]);
@@ -147,11 +147,11 @@
         const starts = fixtures.getStarts(site, lasting);
         expect(starts.length).toBeGreaterThanOrEqual(2);
         expect(starts.at(-1)!.workerId).not.toBe(home);
-        expect(await stateOf(site, lasting.jobId)).toBe("running");
+        expect(await getJobState(site, lasting.jobId)).toBe("running");
         site.close();
     });
 
-    test("no task starts on a worker that drains, and what would not end there moves with its work saved", async () => {
+    test("no task starts on a draining worker, and one that cannot end there moves with its checkpoint", async () => {
         const job = fixtures.createJob(1, { checkpoints: true, estimateMs: 8_000 });
         const site = await fixtures.openSiteWithJobs({ workers: 2 }, [job]);
         await site.clock.advance(2_500);
@@ -161,14 +161,14 @@
         const starts = fixtures.getStarts(site, job);
         expect(starts).toHaveLength(2);
         expect(starts[1]!.workerId).not.toBe(home);
-        expect(await stateOf(site, job.jobId)).toBe("completed");
+        expect(await getJobState(site, job.jobId)).toBe("completed");
         site.close();
     });
 });
 
 describe("advice", () => {
     test("tasks start only on workers that the adviser names, with their ticket", async () => {
-        const asked: string[][] = [];
+        const askedWorkers: string[][] = [];
         const site = await fixtures.openSiteWithJobs({
             catalog: {
                 ...fixtures.CATALOG,
@@ -179,7 +179,7 @@
             },
             adviser: {
                 advise: async (_step, workerNames) => {
-                    asked.push([...workerNames]);
+                    askedWorkers.push([...workerNames]);
                     const good = workerNames.filter(id => id === "worker-2");
                     return {
                         kind: "advised",
@@ -191,31 +191,31 @@
         }, [fixtures.createJob(1, { count: 3 })]);
         await site.clock.advance(6_000);
         expect(new Set(site.workers.starts.map(start => start.workerId))).toEqual(new Set(["worker-2"]));
-        expect(asked.length).toBeGreaterThan(0);
-        expect(asked.length).toBeLessThan(5);
+        expect(askedWorkers.length).toBeGreaterThan(0);
+        expect(askedWorkers.length).toBeLessThan(5);
         site.close();
     });
 });
 
 describe("retention", () => {
-    test("rows of a job that ended long ago are removed, those of others stay", async () => {
+    test("rows of a job are removed after the retention time, those of other jobs stay", async () => {
         const ended = fixtures.createJob(1);
         const running = fixtures.createJob(2, { lasting: true });
         const site = await fixtures.openSiteWithJobs({ retentionMs: 60_000 }, [ended, running]);
         await site.clock.advance(50_000);
-        expect(await stateOf(site, ended.jobId)).toBe("completed");
+        expect(await getJobState(site, ended.jobId)).toBe("completed");
         await site.clock.advance(40_000);
-        expect(await stateOf(site, ended.jobId)).toBe("unknownJob");
-        expect(await stateOf(site, running.jobId)).toBe("running");
+        expect(await getJobState(site, ended.jobId)).toBe("unknownJob");
+        expect(await getJobState(site, running.jobId)).toBe("running");
         expect(site.store.getRows("progress").map(row => row.key)).toEqual([running.jobId, `${running.jobId}.0`]);
         site.close();
     });
 
-    test("progress without a submission is removed after a takeover and runs nothing", async () => {
+    test("progress rows without a submission are removed after a takeover and start nothing", async () => {
         const job = fixtures.createJob(1);
         const site = await fixtures.openSiteWithJobs({}, [job]);
         await site.clock.advance(4_000);
-        // A leader was lost between removing the submission and removing its progress.
+        // As if a leader was lost between removing the submission and removing its progress.
         site.store.remove({ table: "jobs", part: work.getIntakePart(job.jobId), key: job.jobId });
         const before = site.workers.starts.length;
         site.kill(site.getLeader()!);
--- a/src/scheduler/__tests__/slowStore.test.ts
+++ b/src/scheduler/__tests__/slowStore.test.ts
@@ -2,11 +2,11 @@
 
 const LEAD_MS = 2_000;
 const SLOW_FOR_MS = 3_200;
-const SLOWNESS = 98;
-/** A part of the store takes 200 transactions a second as a rule. */
+const SLOWDOWN = 98;
+/** Time that a transaction occupies its part of the store: normally 200 transactions a second for each part. */
 const PART_MS = 5;
 const INSTANCES = 4;
-/** As ten a second come from the callers of a site of some hundred instances. */
+/** Ten submissions a second, as from the callers of a site with some hundred instances. */
 const JOBS = 32;
 const EVERY_MS = 100;
 
@@ -19,13 +19,13 @@
             storeFaults: time => ({
                 decide: () => "none",
                 lateMs: 0,
-                getSlowdown: () => time.now() >= LEAD_MS && time.now() < LEAD_MS + SLOW_FOR_MS ? SLOWNESS : 1,
+                getSlowdown: () => time.now() >= LEAD_MS && time.now() < LEAD_MS + SLOW_FOR_MS ? SLOWDOWN : 1,
             }),
         });
 
-    // Symptom: submissions are refused or left open though the store answers. Sequence: each holds its part of the store
-    // for half a second, and ten come in a second. Cause: all submissions lay in one part, which takes them one by one.
-    test("takes ten submissions a second", async () => {
+    // Guards against submissions that are refused or undecided though the store answers: each occupies its part of the
+    // store for half a second, and ten arrive in a second. In a single part, they would be written one by one.
+    test("accepts ten submissions a second", async () => {
         const site = openSlow();
         await site.clock.advance(LEAD_MS);
         const replies: string[] = [];
@@ -39,10 +39,10 @@
         expect(replies.filter(kind => kind === "accepted")).toHaveLength(JOBS);
     });
 
-    // Symptom: nothing starts for a second and more after a store was slow, and work is stopped. Sequence: the leader's
-    // renewals wait behind its own writes of progress, are given up and sent again, and the lease lapses. Cause: it sent
-    // several transactions at a time to a part of the store that takes one after another.
-    test("has one leader all the while", async () => {
+    // Guards against a second or more without starts after a store was slow, and against stopped work: a leader that
+    // sends several transactions at a time to one part of the store, which serializes them, delays its own renewals
+    // behind writes of progress. They time out and are repeated, and the lease expires.
+    test("keeps its leader", async () => {
         const site = openSlow();
         await site.clock.advance(LEAD_MS - 1_000);
         for (let number = 0; number < JOBS; number++) {
--- a/src/scheduler/__tests__/unansweredStarts.test.ts
+++ b/src/scheduler/__tests__/unansweredStarts.test.ts
@@ -1,18 +1,20 @@
-// Symptom: work is begun twice and thrown away once whenever answers are slow. Sequence: a worker starts a task and its
-// answer is lost. Cause: a start without an answer was stopped at once, though it had been carried out.
+// Guards against work that is begun twice and lost once: a worker starts a task, its answer is lost, and the task is
+// stopped without first polling the worker for it.
 import * as decisions from "../../decisions/index";
 import * as fixtures from "./fixtures";
 
-describe("a start that is carried out and not answered", () => {
-    const cases: ReadonlyArray<readonly [name: string, leftOut: readonly decisions.Mechanism[], starts: number]> = [
-        ["goes on when it is looked for", [], 1],
-        ["is stopped and started again where nobody looks", ["unansweredLooks"], 2],
+describe("a start that is carried out but whose answer is lost", () => {
+    const cases: ReadonlyArray<
+        readonly [name: string, disabledMechanisms: readonly decisions.Mechanism[], starts: number]
+    > = [
+        ["is kept after a poll of its worker", [], 1],
+        ["is stopped and started again if such polls are disabled", ["unansweredLooks"], 2],
     ];
-    test.each(cases)("%s", async (_name, leftOut, starts) => {
+    test.each(cases)("%s", async (_name, disabledMechanisms, starts) => {
         let lost = false;
         const job = fixtures.createJob(1, { estimateMs: 6_000 });
         const site = await fixtures.openSiteWithJobs({
-            policy: decisions.disableMechanisms(decisions.POLICIES.worth, leftOut),
+            policy: decisions.disableMechanisms(decisions.POLICIES.worth, disabledMechanisms),
             workerFaults: () => ({
                 decide: (_worker, call) => {
                     const fault = call === "start" && !lost ? "loseAnswer" : "none";
--- a/src/scheduler/__tests__/unknownService.test.ts
+++ b/src/scheduler/__tests__/unknownService.test.ts
@@ -1,17 +1,17 @@
-// Symptom: looks at workers that never get a task. Sequence: somebody writes an entry of a service that nobody has
-// configured to the list of workers. Cause: every listed worker was looked at, whatever it serves.
+// Guards against polls of workers that never get a task: the list of workers contains an entry of a service that is
+// not configured, and every listed worker is polled, whatever its service.
 import * as fixtures from "./fixtures";
 
-const STRANGE = { ...fixtures.createWorkerInfo(9), service: "nobody's" };
+const UNKNOWN_SERVICE_WORKER = { ...fixtures.createWorkerInfo(9), service: "nobody's" };
 
-async function openWithStranger() {
-    const looked: string[] = [];
+async function openWithUnknownServiceWorker() {
+    const polledWorkers: string[] = [];
     const site = await fixtures.openSiteWithJobs({
         workers: 2,
         workerFaults: () => ({
             decide: (worker, call) => {
                 if (call === "look") {
-                    looked.push(worker);
+                    polledWorkers.push(worker);
                 }
                 return "none";
             },
@@ -19,37 +19,37 @@
             getSlowdown: () => 1,
         }),
     }, []);
-    site.workers.add(STRANGE);
+    site.workers.add(UNKNOWN_SERVICE_WORKER);
     await site.clock.advance(3_000);
-    return { site, looked };
+    return { site, looked: polledWorkers };
 }
 
 describe("a worker of a service that is not configured", () => {
-    test("is not looked at, is told once, and the others work", async () => {
-        const { site, looked } = await openWithStranger();
+    test("is not polled and is logged once, and the other workers are used", async () => {
+        const { site, looked } = await openWithUnknownServiceWorker();
         const job = fixtures.createJob(1, { count: 4 });
         await fixtures.advanceUntilSettled(site.clock, site.submit(job, 0));
         await site.clock.advance(4_000);
-        expect(looked).not.toContain(STRANGE.id);
+        expect(looked).not.toContain(UNKNOWN_SERVICE_WORKER.id);
         expect(site.workers.doneCounts.size).toBe(4);
         expect(site.lines.filter(line => line["event"] === "workerOfUnknownService")).toHaveLength(1);
         site.close();
     });
 
     test("is used as soon as its service is configured", async () => {
-        const { site, looked } = await openWithStranger();
+        const { site, looked } = await openWithUnknownServiceWorker();
         const services = [...fixtures.CATALOG.services, {
-            name: STRANGE.service,
+            name: UNKNOWN_SERVICE_WORKER.service,
             refusesOverload: false,
             spare: false,
         }];
         site.applyCatalog({ ...fixtures.CATALOG, version: 2, services });
         await site.clock.advance(1_000);
-        expect(looked).toContain(STRANGE.id);
+        expect(looked).toContain(UNKNOWN_SERVICE_WORKER.id);
         site.close();
     });
 
-    test("keeps its session as long as something runs there", async () => {
+    test("keeps its session as long as a task runs there", async () => {
         const site = await fixtures.openSiteWithJobs({ workers: 1 }, [fixtures.createJob(1, { estimateMs: 8_000 })]);
         await site.clock.advance(500);
         site.applyCatalog({ ...fixtures.CATALOG, version: 2, services: [] });
--- a/src/scheduler/__tests__/upkeep.test.ts
+++ b/src/scheduler/__tests__/upkeep.test.ts
@@ -11,55 +11,57 @@
 
 interface Case {
     readonly name: string;
-    /** Symptom, sequence, cause. */
-    readonly story: string;
+    /** The failure that the case guards against, and how it comes about. */
+    readonly description: string;
     readonly waves?: readonly leader.Wave[];
-    /** What becomes of the number-th order. */
+    /** Fault of the number-th order. */
     readonly fault?: (number: number, order: leader.UpkeepOrder) => emulator.MachineFault;
     readonly lateMs?: number;
-    /** The leader is killed as the number-th upkeep begins, or as the number-th order is sent. */
+    /** Number of the upkeep at whose beginning the leader is killed. */
     readonly killAtUpkeep?: number;
+    /** Number of the order at whose sending the leader is killed. */
     readonly killAtOrder?: number;
-    /** Waves that are completed in the end; absent: all. */
+    /** Waves that are completed in the end; absent for all. */
     readonly completes?: readonly number[];
 }
 
 const cases: readonly Case[] = [
-    { name: "a calm wave", story: "Each machine goes down once it is empty, one at a time." },
+    { name: "a wave without failures", description: "Each machine goes down once it is empty, one at a time." },
     {
         name: "two waves at once",
-        story:
-            `Symptom: the second wave is late. Sequence: two waves are ordered, and the platform takes no order of the
-            first. Cause: one was carried out after the other.`,
+        description:
+            `The second wave is late: the platform refuses all orders of the first, and the waves are carried out one
+            after the other.`,
         waves: TWO_WAVES,
         fault: (_number, order) => order.wave === 1 ? "refuse" : "none",
         completes: [2],
     },
     {
         name: "the leader is killed as an upkeep begins",
-        story: `Symptom: two machines are down where one may be. Sequence: the leader dies when the platform has carried
-            out its order, and has stored nothing of it. Cause: its successor takes the machine for one that waits.`,
+        description:
+            `Two machines are down where one may be: the leader dies when the platform has carried out its order, and
+            has stored nothing of it, so its successor treats the machine as still waiting.`,
         killAtUpkeep: 1,
     },
     {
         name: "an order without an answer is carried out after the next leader has begun",
-        story: `Symptom: two machines are down where one may be. Sequence: an order is on its way, its leader dies, the
-            successor takes down another machine, the order arrives. Cause: the order was not stored before it went
-            out.`,
+        description:
+            `Two machines are down where one may be: an order was not stored before it was sent, its leader dies, the
+            successor takes down another machine, and then the order arrives.`,
         fault: number => number === 1 ? "late" : "none",
         lateMs: 3_500,
         killAtOrder: 1,
     },
     {
         name: "answers are lost",
-        story:
-            `Symptom: a wave never ends. Sequence: the upkeep begins and its answer is lost. Cause: the machine's return
-            was not taken for the end of its upkeep.`,
+        description:
+            `A wave never ends: an upkeep begins, the answer to its order is lost, and the machine's return is not
+            recognized as the end of its upkeep.`,
         fault: number => number % 2 === 1 ? "loseAnswer" : "none",
     },
     {
-        name: "the platform turns orders away",
-        story: "Orders are repeated until the platform takes them.",
+        name: "the platform refuses orders",
+        description: "A wave never ends, since a refused order is not repeated.",
         fault: number => number % 3 !== 0 ? "refuse" : "none",
     },
 ];
--- a/src/scheduler/index.ts
+++ b/src/scheduler/index.ts
@@ -1,2 +1,2 @@
-/** One instance of the scheduler, put together from its duties. */
+/** One instance of the scheduler: leader election, intake of requests, and the term while it leads. */
 export { createScheduler, type Scheduler, type SchedulerOptions, type SchedulerSettings } from "./scheduler";
--- a/src/scheduler/scheduler.ts
+++ b/src/scheduler/scheduler.ts
@@ -1,4 +1,7 @@
-/** One instance of the scheduler, whatever it is connected to: the entry, the lease, and the term while it leads. */
+/**
+ * Assembles one instance of the scheduler from its ports: the intake of caller requests, the leader lease, and the term
+ * while the instance leads.
+ */
 import * as catalogs from "../catalog/index";
 import type * as clock from "../clock/index";
 import type * as decisions from "../decisions/index";
@@ -8,17 +11,19 @@
 import * as rows from "../rows/index";
 import * as work from "../work/index";
 
+/** Identity, ports and settings of an instance. */
 export interface SchedulerOptions {
+    /** Name of the instance, the same after a restart. */
     readonly instance: string;
-    /** Unique to this life of the instance. */
+    /** Id of this run of the process; differs after each restart. */
     readonly incarnation: string;
-    /** Processor time that this instance gets, in cores. */
+    /** CPU time available to this instance, in cores. */
     readonly power: number;
-    /** Where other instances watch this process; empty: nowhere. */
+    /** Address on which other instances watch this process; empty if it offers none. */
     readonly watchAddress: string;
-    /** Where this instance takes requests that others pass on; empty: nowhere. */
+    /** Address on which this instance accepts forwarded requests; empty if it accepts none. */
     readonly peerAddress: string;
-    /** Watches another instance's process; `onGone`: it is gone for certain. */
+    /** Watches another instance's process. Calls `onGone` once it has certainly ended. */
     watchProcess(address: string, onGone: () => void): leader.ProcessWatch;
     readonly handover: leader.HandoverPort;
     readonly store: rows.RowStore;
@@ -31,51 +36,54 @@
     readonly clock: clock.Clock;
     readonly log: observe.Log;
     readonly meter: observe.Meter;
-    /** Asked at the beginning of each term, and for each submission. */
+    /** Read at the start of each term, for each submission, and for each check of the configuration's age. */
     getSettings(): SchedulerSettings;
-    /** Milliseconds since the moment as of which the configuration is known for certain; `Infinity`: not read yet. */
+    /** Milliseconds since the configuration was certainly current; `Infinity` before the first read. */
     getConfigurationAgeMs(): number;
     readonly signal: AbortSignal;
 }
 
+/** Settings that may change while the instance runs. */
 export interface SchedulerSettings {
-    /** Longest lease that a worker grants to what runs there. */
+    /** Maximum lease that a worker grants to a running task. */
     readonly maxLeaseMs: number;
-    /** How long a machine is down for its upkeep. */
+    /** How long a machine is down for maintenance. */
     readonly upkeepMs: number;
-    /** How long the state of an ended job can be asked for. */
+    /** How long the state of an ended job can be queried. */
     readonly retentionMs: number;
-    /** The longest value of a row in the store. */
+    /** Maximum size of a row's value in the store, in bytes. */
     readonly rowBytes: number;
-    /** How long after its confirmation a configuration may take to be in force everywhere. */
+    /** Maximum time from the confirmation of a configuration until every instance uses it. */
     readonly configurationMs: number;
-    /** How long after a worker's capacity has shrunk a start may count on what it was. */
+    /** Maximum time after a worker's capacity has shrunk for which a start may still rely on the old capacity. */
     readonly capacityMs: number;
 }
 
+/** A running instance of the scheduler. */
 export interface Scheduler {
     readonly catalog: catalogs.CurrentCatalog;
     readonly intake: intakes.Intake;
-    /** The store, for what else this instance reads there: each call tells whether it can be reached. */
+    /** The store for other readers in this instance: each of their calls also updates its health. */
     readonly store: rows.RowStore;
-    /** Whether this instance can serve callers now. */
+    /** Whether this instance can serve callers now: it has a current configuration and reaches the store. */
     isReady(): boolean;
     isLeading(): boolean;
     isStoreUnreachable(): boolean;
-    /** Whether callers may be served under the configuration in force here. */
+    /** Whether the configuration in force is recent enough to serve callers. */
     isConfigurationFresh(): boolean;
-    /** Where the leader takes requests that are passed on; `undefined` where it is this instance or not known. */
+    /** Address on which the leader accepts forwarded requests; `undefined` if unknown or if this instance leads. */
     getLeaderAddress(): string | undefined;
-    /** What other instances ask when they cannot lead any more. */
+    /** Handles handover requests of an instance that can no longer lead. */
     readonly handover: Pick<leader.Handover, "answer" | "take">;
-    /** Hands the lead over. */
+    /** Releases the leader lease, so that another instance need not wait for its expiry. */
     release(): Promise<void>;
 }
 
+/** Creates an instance, which runs until `signal` is aborted. */
 export function createScheduler(options: SchedulerOptions): Scheduler {
     const { clock: time, log, meter } = options;
-    const { disabledMechanisms: leftOut } = options.policy;
-    const current = catalogs.createCurrentCatalog();
+    const { disabledMechanisms: disabledMechanisms } = options.policy;
+    const catalog = catalogs.createCurrentCatalog();
     const health = rows.createStoreHealth({
         store: rows.createInstrumentedStore(options.store, meter),
         clock: time,
@@ -85,7 +93,7 @@
             log.warn("storeLost", { why });
             offerTerm();
         },
-        onReachable: awayMs => log.info("storeRegained", { awayMs: Math.round(awayMs) }),
+        onReachable: unreachableMs => log.info("storeRegained", { awayMs: Math.round(unreachableMs) }),
     });
     const { store } = health;
 
@@ -95,8 +103,8 @@
             ...options,
             ...options.getSettings(),
             store,
-            catalog: current,
-            leadership: leftOut.has("prolonging")
+            catalog,
+            leadership: disabledMechanisms.has("prolonging")
                 ? { ...leadership, mayExtendTaskLeases: leadership.mayIssueOrders }
                 : leadership,
             onSuperseded: reason => lease.endTerm(reason),
@@ -119,7 +127,7 @@
         peerAddress: options.peerAddress,
         watchHolder: (address, onGone) => {
             const watch = options.watchProcess(address, onGone);
-            return leftOut.has("heartbeats") ? { ...watch, getHeartbeatAgeMs: () => undefined } : watch;
+            return disabledMechanisms.has("heartbeats") ? { ...watch, getHeartbeatAgeMs: () => undefined } : watch;
         },
         signal: options.signal,
         power: options.power,
@@ -127,16 +135,16 @@
         onRenewalOverdue: () => offerTerm(),
         onElected: openTerm,
     });
-    const isStoreAway = () => health.getAwayMs() !== undefined;
+    const isStoreUnreachable = () => health.getUnreachableMs() !== undefined;
     const handover = leader.createHandover({
         ...options,
         port: options.handover,
         lease,
         store,
-        isStoreUnreachable: isStoreAway,
+        isStoreUnreachable,
     });
     const offerTerm = () => {
-        if (!leftOut.has("handover")) {
+        if (!disabledMechanisms.has("handover")) {
             void handover.offerLeadership();
         }
     };
@@ -159,26 +167,26 @@
     });
     const { isFresh } = catalogs.createFreshness({
         log,
-        getVersion: () => current.get()?.version,
+        getVersion: () => catalog.get()?.version,
         getAgeMs: options.getConfigurationAgeMs,
         getMaxAgeMs: () => options.getSettings().configurationMs,
     });
-    const isReady = () => current.get() !== undefined && isFresh() && !isStoreAway();
+    const isReady = () => catalog.get() !== undefined && isFresh() && !isStoreUnreachable();
     meter.registerGauges(() => [
         { metric: "ready", value: Number(isReady()) },
-        { metric: "configuration_version", value: current.get()?.version ?? 0 },
+        { metric: "configuration_version", value: catalog.get()?.version ?? 0 },
         { metric: "configuration_fresh", value: Number(isFresh()) },
-        { metric: "store_reachable", value: Number(!isStoreAway()) },
+        { metric: "store_reachable", value: Number(!isStoreUnreachable()) },
         { metric: "leading", value: Number(lease.isLeading()) },
     ]);
     return {
-        catalog: current,
+        catalog,
         intake,
         store,
         handover,
         isReady,
         isLeading: lease.isLeading,
-        isStoreUnreachable: isStoreAway,
+        isStoreUnreachable,
         isConfigurationFresh: isFresh,
         getLeaderAddress: () => {
             const address = lease.getObservation()?.record.peerAddress;
