--- a/src/calls/callServer.ts
+++ b/src/calls/callServer.ts
@@ -1,24 +1,27 @@
-/** Takes calls of other instances of this program: texts that are posted to a path, and the texts that answer them. */
+/** HTTP server for calls from other instances: each call posts a text to a path and gets a text as the answer. */
 import * as http from "node:http";
 import * as listens from "./listen";
 
+/** Handler of the calls to one path. */
 export interface CallRoute {
     readonly path: string;
-    /** Returns the answer; `undefined` for a text that cannot be read. */
+    /** Returns the answer, or `undefined` for malformed text, which is answered with status 400. */
     handle(text: string): Promise<string | undefined>;
 }
 
+/** Server for calls from other instances. */
 export interface CallServer {
-    /** Takes `IP:PORT`, port 0 for any free one; returns the port. */
+    /** Listens on `address` (`IP:PORT`, port 0 for any free one) and returns the port. */
     listen(address: string): Promise<number>;
-    /** Takes no new connections, answers what was read, and closes. */
+    /** Accepts no new connections, answers pending calls, and closes. */
     close(): Promise<void>;
 }
 
-/** Twice the largest body that callers may send, for what quoting adds. */
-const MAX_BYTES = 1_048_576;
+/** Twice the maximum body size of callers, since JSON escaping enlarges a forwarded body. */
+const MAX_BODY_BYTES = 1_048_576;
 const BAD_REQUEST = 400;
 
+/** Creates a server with the given routes. Unknown paths and malformed calls are answered with status 400. */
 export function createCallServer(routes: readonly CallRoute[]): CallServer {
     let closing = false;
     const server = http.createServer((req, res) => {
@@ -46,18 +49,18 @@
     };
 }
 
-/** `undefined`: longer than allowed, or broken off. */
+/** Reads the body; `undefined` if it exceeds `MAX_BYTES` or the connection fails. */
 function readText(req: http.IncomingMessage): Promise<string | undefined> {
     return new Promise(resolve => {
         const chunks: Buffer[] = [];
         let bytes = 0;
         req.on("data", (chunk: Buffer) => {
             bytes += chunk.length;
-            if (bytes <= MAX_BYTES) {
+            if (bytes <= MAX_BODY_BYTES) {
                 chunks.push(chunk);
             }
         });
-        req.once("end", () => resolve(bytes > MAX_BYTES ? undefined : Buffer.concat(chunks).toString()));
+        req.once("end", () => resolve(bytes > MAX_BODY_BYTES ? undefined : Buffer.concat(chunks).toString()));
         req.once("error", () => resolve(undefined));
     });
 }
--- a/src/calls/callTimeout.ts
+++ b/src/calls/callTimeout.ts
@@ -1,59 +1,63 @@
 /**
- * How long a call waits for its answer.
+ * Timeouts of a call.
  *
- * A timeout is there to notice silence. What goes wrong where it bounds the whole of an answer whose length has no
- * bound: on a weak link the answer takes longer, is given up while it is coming, and is asked for anew from its first
- * byte, for ever. One notices a link that is busy without pause and a reader that is behind for good. So whoever asks
- * for such an answer sets `mostMs`, and `timeoutMs` then bounds the time without a byte of it.
+ * A timeout is meant to detect silence. If it bounded the whole of an answer of unbounded length, then on a weak link
+ * the answer would be abandoned while it arrives and be requested again from its first byte, forever: the link would be
+ * saturated and the reader never catch up. Calls for such answers set `totalTimeoutMs`, and `timeoutMs` then bounds the
+ * time without a byte of the answer.
  */
 
+/** Timeouts of one call, in milliseconds. */
 export interface CallTimeouts {
-    /** From the call to the end of the answer; with `mostMs`, to its beginning, and from one part of it to the next. */
+    /** From the call to the end of the answer; with `totalTimeoutMs`, to its first byte and between its chunks. */
     readonly timeoutMs: number;
-    /** From the call to the end of an answer that keeps coming. */
+    /** From the call to the end of an answer that keeps arriving. */
     readonly totalTimeoutMs?: number;
 }
 
+/** Running timer of one call. */
 export interface CallTimer {
-    /** A part of the answer has come. */
+    /** Restarts the idle timeout; called when a part of the answer has arrived. */
     refresh(): void;
-    /** The call is over: `onOver` is not called any more. */
+    /** Stops the timer when the call has ended. */
     stop(): void;
 }
 
-/** Calls `onOver` once, with the milliseconds since the call, when it has to be given up. */
+/** Calls `onTimeout` at most once, with the milliseconds since the call, when it has timed out. */
 export function startCallTimer(
-    { timeoutMs, totalTimeoutMs: mostMs }: CallTimeouts,
-    onOver: (afterMs: number) => void,
+    { timeoutMs, totalTimeoutMs }: CallTimeouts,
+    onTimeout: (afterMs: number) => void,
 ): CallTimer {
     const startedAt = performance.now();
-    let heardAt = startedAt;
-    let ended = false;
+    let refreshedAt = startedAt;
+    let isStopped = false;
     let timer: NodeJS.Timeout;
     const getDueAt = () =>
-        mostMs === undefined ? startedAt + timeoutMs : Math.min(heardAt + timeoutMs, startedAt + mostMs);
+        totalTimeoutMs === undefined
+            ? startedAt + timeoutMs
+            : Math.min(refreshedAt + timeoutMs, startedAt + totalTimeoutMs);
     const check = () => {
-        if (ended) {
+        if (isStopped) {
             return;
         }
         const now = performance.now();
         if (getDueAt() <= now) {
-            onOver(now - startedAt);
+            onTimeout(now - startedAt);
             return;
         }
         arm();
     };
     const arm = () => {
-        // A busy process sees its timers before the answers that have come in the meantime; these go first.
+        // After a busy period the event loop runs timers before pending I/O; setImmediate lets the answers go first.
         timer = setTimeout(() => setImmediate(check), Math.max(0, Math.ceil(getDueAt() - performance.now())));
     };
     arm();
     return {
         refresh: () => {
-            heardAt = performance.now();
+            refreshedAt = performance.now();
         },
         stop: () => {
-            ended = true;
+            isStopped = true;
             clearTimeout(timer);
         },
     };
--- a/src/calls/httpClient.ts
+++ b/src/calls/httpClient.ts
@@ -1,11 +1,12 @@
 /**
- * HTTP calls to the platform, to workers and to other instances: keep-alive connections, a timeout for each call, and
- * a typed outcome that says whether the call may have been carried out.
+ * HTTP client for the platform, workers and other instances: keep-alive connections, a timeout for each call, and a
+ * typed outcome that tells whether the call may have been carried out.
  */
 import * as http from "node:http";
-import * as patience from "./callTimeout";
+import * as callTimeout from "./callTimeout";
 
-export interface HttpCall extends patience.CallTimeouts {
+/** One HTTP call with its timeouts. */
+export interface HttpCall extends callTimeout.CallTimeouts {
     /** `IP:PORT`. */
     readonly address: string;
     readonly method: "GET" | "POST" | "PUT" | "DELETE";
@@ -14,20 +15,25 @@
     readonly body?: string;
 }
 
+/** Result of a call: an answer with any status, or none. */
 export type HttpOutcome =
     | { readonly kind: "answered"; readonly status: number; readonly body: string; }
-    /** `sent` is false when no connection came about, so that the other side cannot have seen the call. */
+    /** `sent` is false if no connection was established, so the server cannot have received the call. */
     | { readonly kind: "noAnswer"; readonly sent: boolean; readonly message: string; };
 
+/** Client with a pool of connections for each address. */
 export interface HttpClient {
     call(call: HttpCall): Promise<HttpOutcome>;
     close(): void;
 }
 
-/** Idle connections are kept this long: new ones to workers are dear, and a worker closes none by itself. */
+/**
+ * Initial delay of TCP keep-alive probes. Idle connections stay open: new ones to workers are expensive, and a worker
+ * closes none by itself.
+ */
 const KEEP_ALIVE_PROBE_MS = 1_000;
 
-/** `connections` is the most that are open to one address. */
+/** Creates a client with at most `connections` open connections to each address. */
 export function createHttpClient(connections: number): HttpClient {
     const agent = new http.Agent({
         keepAlive: true,
@@ -42,7 +48,7 @@
                 return await send(agent, call);
             }
             catch (err) {
-                // An address or a header that no connection can be made from, as a malformed row may hold it.
+                // Invalid address or header, as from a malformed row.
                 return { kind: "noAnswer", sent: false, message: err instanceof Error ? err.message : String(err) };
             }
         },
@@ -50,11 +56,11 @@
     };
 }
 
-/** Throws where there is no port: the library would take its default, and reach whoever listens there. */
+/** Throws if there is no port: `http.request` would use its default port and might reach an unrelated server. */
 function parseAddress(address: string): { host: string; port: number; } {
     const match = /^(.+):(\d{1,5})$/.exec(address);
     if (!match) {
-        throw new Error(`"${address}" is no address`);
+        throw new Error(`invalid address "${address}", expected HOST:PORT`);
     }
     return { host: match[1]!, port: Number(match[2]) };
 }
@@ -77,12 +83,12 @@
             path: call.path,
             headers,
         });
-        const wait = patience.startCallTimer(call, afterMs => {
-            // The connection may have fallen silent, and the next call needs a new one.
-            req.destroy(new Error(describeEnd(afterMs, receivedBytes)));
+        const timer = callTimeout.startCallTimer(call, afterMs => {
+            // The connection may be dead, so the next call needs a new one.
+            req.destroy(new Error(describeTimeout(afterMs, receivedBytes)));
         });
         const finish = (outcome: HttpOutcome) => {
-            wait.stop();
+            timer.stop();
             resolve(outcome);
         };
         req.once("socket", socket => {
@@ -97,9 +103,9 @@
         req.on("error", err => finish({ kind: "noAnswer", sent, message: err.message }));
         req.once("response", res => {
             const chunks: Buffer[] = [];
-            wait.refresh();
+            timer.refresh();
             res.on("data", (chunk: Buffer) => {
-                wait.refresh();
+                timer.refresh();
                 receivedBytes += chunk.length;
                 chunks.push(chunk);
             });
@@ -115,10 +121,10 @@
     });
 }
 
-/** Tells silence from an answer that was still coming. */
-function describeEnd(afterMs: number, receivedBytes: number): string {
+/** Error message of a timeout; tells a silent server from one whose answer was still arriving. */
+function describeTimeout(afterMs: number, receivedBytes: number): string {
     const ms = Math.round(afterMs);
     return receivedBytes === 0
         ? `no answer within ${ms} ms`
-        : `no whole answer within ${ms} ms, ${receivedBytes} bytes of it had come`;
+        : `incomplete answer after ${ms} ms, received ${receivedBytes} bytes`;
 }
--- a/src/calls/listen.ts
+++ b/src/calls/listen.ts
@@ -1,6 +1,7 @@
+/** Starts servers on configured addresses. */
 import type * as net from "node:net";
 
-/** Takes `IP:PORT`, port 0 for any free one; returns the port. */
+/** Listens on `address` (`IP:PORT`, port 0 for any free one) and returns the port. Rejects if the port is taken. */
 export function listen(server: net.Server, address: string): Promise<number> {
     const separator = address.lastIndexOf(":");
     return new Promise((resolve, reject) => {
--- a/src/rows/__tests__/followTable.test.ts
+++ b/src/rows/__tests__/followTable.test.ts
@@ -9,7 +9,7 @@
 interface Opened {
     readonly time: clocks.ManualClock;
     readonly store: emulator.EmulatedStore;
-    /** The value that is known of the key, and when it was learned. */
+    /** The followed value of each key, and when it was received. */
     readonly known: Map<string, { readonly value: string; readonly at: number; }>;
     readonly lines: ReadonlyArray<{ readonly event: string; readonly fields: Readonly<Record<string, unknown>>; }>;
     readonly getAgeMs: () => number;
@@ -17,7 +17,7 @@
     readonly stop: () => void;
 }
 
-function open(decide: (now: number, call: string) => emulator.StoreFault, everyMs?: number): Opened {
+function open(decide: (now: number, call: string) => emulator.StoreFault, pollIntervalMs?: number): Opened {
     const time = clocks.createManualClock(1_000);
     const startedAt = time.now();
     const store = emulator.createEmulatedStore({
@@ -43,7 +43,7 @@
         table: TABLE,
         part: "",
         signal: stopping.signal,
-        pollIntervalMs: everyMs,
+        pollIntervalMs,
         onSnapshot: all => all.forEach(take),
         onChanges: changes => changes.forEach(row => row.removed ? known.delete(row.key) : take(row)),
     });
@@ -60,57 +60,59 @@
 
 interface Case {
     readonly name: string;
-    readonly story: string;
+    /** The failure that the case guards against, and how it comes about. */
+    readonly description: string;
     readonly decide?: (now: number, call: string) => emulator.StoreFault;
-    /** The store forgets its history at the change. */
-    readonly forgets?: boolean;
-    /** When the row changes, and until when that must be known. */
+    /** Whether the store loses its history at the change. */
+    readonly losesHistory?: boolean;
+    /** When the row changes. */
     readonly changedAt: number;
-    readonly knownUntil: number;
+    /** When the change must be known. */
+    readonly knownBy: number;
 }
 
 const cases: readonly Case[] = [
     {
         name: "a change is known at once",
-        story: "A poll waits for changes, so nothing but the way to the store and back passes.",
+        description: "A poll waits for changes, so a change is known after one round trip to the store.",
         changedAt: 2_000,
-        knownUntil: 2_020,
+        knownBy: 2_020,
     },
     {
         name: "a change during an outage is known soon after it",
-        story:
-            `Symptom: a key that was taken away goes on working. Sequence: the store is silent, the operator changes the
-            configuration, the store is back. Cause: the poll that hangs is given up too late.`,
+        description:
+            `A revoked key keeps working: the operator changes the configuration while the store does not answer this
+            instance, and the pending poll times out long after the store has recovered.`,
         decide: now => now >= 1_500 && now < 4_000 ? "silent" : "none",
         // After the poll that was under way when the outage began has ended.
         changedAt: 2_500,
-        knownUntil: 5_400,
+        knownBy: 5_400,
     },
     {
-        name: "a connection that has fallen silent is given up while new ones work",
-        story:
-            `Symptom: one instance follows the configuration half a minute late. Sequence: its poll's connection falls
-            silent without a reset. Cause: the poll was as long as the store allows.`,
+        name: "a silent connection is abandoned while new ones work",
+        description:
+            `An instance follows the configuration half a minute late: the connection of its poll goes silent without a
+            reset, and the poll is as long as the store allows.`,
         decide: (now, call) => call === "feed" && now < 100 ? "silent" : "none",
         changedAt: 300,
-        knownUntil: 1_600,
+        knownBy: 1_600,
     },
     {
-        name: "what changed while the history was lost is read anew",
-        story:
-            `Symptom: a change never comes into force. Sequence: the store forgets its history between two polls. Cause:
-            the follower goes on from a version that the store knows nothing of.`,
+        name: "a change during a loss of the history is read with the whole table",
+        description:
+            `A change never comes into force: the store loses its history between two polls, and the follower polls on
+            from a version that the store no longer knows.`,
         decide: now => now >= 1_500 && now < 3_000 ? "refuse" : "none",
-        forgets: true,
+        losesHistory: true,
         changedAt: 2_000,
-        knownUntil: 3_600,
+        knownBy: 3_600,
     },
 ];
 
 describe("following a table", () => {
-    test("of which some row changes all the time costs one call for each pause", async () => {
-        // Symptom: the leader of a large site spends half its processor time on the list of workers. Sequence: each
-        // worker writes its row every few seconds. Cause: each change ends a poll, and the next one begins.
+    test("that changes all the time costs one call per poll interval", async () => {
+        // Guards against a leader of a large site that spends half its CPU time on the list of workers: each worker
+        // writes its row every few seconds, and each change would end a long poll and begin the next.
         let calls = 0;
         const opened = open((_now, call) => {
             calls += call === "feed" ? 1 : 0;
@@ -126,8 +128,8 @@
         opened.stop();
     });
 
-    // Workers that had told of themselves since the store was back were known of up to 1.4 s later.
-    test("that was away and is asked now and then is asked often for a while, and then as before", async () => {
+    // Guards against workers that become known up to 1.4 s after they registered in a store that has recovered.
+    test("is polled at a shorter interval for a while after an outage", async () => {
         let calls = 0;
         const { time, store, known, stop } = open((now, call) => {
             calls += call === "feed" ? 1 : 0;
@@ -144,9 +146,9 @@
         stop();
     });
 
-    test("tells nothing after its end, also when an answer is on its way", async () => {
-        // Symptom: a leader that has lost its lease opens connections to workers that nobody closes. Sequence: the
-        // term ends while the store answers. Cause: the answer was still passed on.
+    test("calls no callback after the signal, even if an answer is pending", async () => {
+        // Guards against leaked connections to workers: a term ends while the store answers, and the answer still
+        // reaches the leader, which opens connections that nobody closes.
         const opened = open(() => "none");
         opened.store.put({ table: TABLE, part: "", key: "config", value: "1" });
         await opened.time.advance(1_000);
@@ -156,8 +158,8 @@
         expect(opened.known.get("config")?.value).toBe("1");
     });
 
-    test("is known as of a moment less than a second ago while the store answers at once", async () => {
-        // A poll that finds nothing was held by the store, so that it tells of changes up to its end.
+    test("keeps the age below a second while the store answers at once", async () => {
+        // The store holds a poll without changes for its whole wait, so its answer covers the changes up to its end.
         const opened = open(() => "none");
         await opened.time.advance(2_000);
         const ages: number[] = [];
@@ -169,9 +171,9 @@
         opened.stop();
     });
 
-    test("is known anew as soon as the store answers again, without the wait of a poll", async () => {
-        // Symptom: an instance refuses callers for a poll's wait longer than the store was away. Cause: what is known
-        // counts as old until a poll ends, and one that finds nothing is held.
+    test("is current again as soon as the store answers again, without the wait of a poll", async () => {
+        // Guards against an instance that refuses callers for longer than the outage of the store: its rows count as
+        // old until a poll ends, and the store holds a poll without changes.
         const opened = open((now, call) => call === "feed" && now >= 2_000 && now < 4_000 ? "silent" : "none");
         await opened.time.advance(4_000);
         while (opened.getAgeMs() > 1_000) {
@@ -179,15 +181,14 @@
         }
         const regained = opened.lines.at(-1);
         expect(regained?.event).toBe("tableRegained");
-        // The poll that was silent ends 1.2 s after it began, and the next one follows after a pause of 0.15 s.
+        // The unanswered poll times out 1.2 s after it began, and the next one follows after a pause of 0.15 s.
         expect(opened.time.now() - 1_000).toBeLessThan(4_000 + 1_200 + 150 + 5 * LATENCY_MS);
         opened.stop();
     });
 
-    test("whose reads fail while the store answers other calls is told of", async () => {
-        // Symptom: an instance serves under an old configuration, and neither its lines nor its figures say so.
-        // Sequence: reads of this one table fail from some moment on. Cause: nothing tells tables apart; the store
-        // counts as reached as long as any call is answered.
+    test("whose reads fail while the store answers other calls is reported in the log and in metrics", async () => {
+        // Guards against an instance that serves under an old configuration without any sign in its log or metrics:
+        // only the reads of this table fail, and the store counts as reachable as long as any call is answered.
         const opened = open((now, call) => call === "feed" && now >= 2_000 && now < 9_000 ? "silent" : "none");
         await opened.time.advance(8_000);
         expect(opened.lines).toEqual([{
@@ -210,7 +211,7 @@
         expect(opened.renderMetrics()).not.toContain("table_age_ms{");
     });
 
-    test.each(cases)("$name", async ({ decide, forgets, changedAt, knownUntil }) => {
+    test.each(cases)("$name", async ({ decide, losesHistory: forgets, changedAt, knownBy: knownUntil }) => {
         const opened = open(decide ?? (() => "none"));
         opened.store.put({ table: TABLE, part: "", key: "config", value: "1" });
         await opened.time.advance(changedAt);
@@ -226,17 +227,17 @@
 });
 
 describe("a table that changes by more than a page between two polls", () => {
-    // Symptom: tasks start on workers that have said 5 s before that they leave. Sequence: 3,000 workers write their rows
-    // every 1.5 s; an answer of the store holds 500 changes, and the next one is asked for 0.6 s later. Cause: what was
-    // left out was asked for no sooner than what is new, so that the table was known later and later.
-    const EVERY_MS = 600;
+    // Guards against tasks that start on workers 5 s after these have reported that they leave: 3,000 workers write
+    // their rows every 1.5 s, an answer of the store holds 500 changes, and if the next poll waits for its 0.6 s
+    // interval, the table is known later and later.
+    const POLL_INTERVAL_MS = 600;
     const WORKERS = 3_000;
-    const BEAT_MS = 1_500;
+    const WORKER_WRITE_INTERVAL_MS = 1_500;
     const STEP_MS = 50;
 
-    test("is known within the time between two polls, also after a while", async () => {
-        const { time, store, known, getAgeMs, stop } = open(() => "none", EVERY_MS);
-        const perStep = WORKERS * STEP_MS / BEAT_MS;
+    test("does not fall behind by more than the time between two polls", async () => {
+        const { time, store, known, getAgeMs, stop } = open(() => "none", POLL_INTERVAL_MS);
+        const perStep = WORKERS * STEP_MS / WORKER_WRITE_INTERVAL_MS;
         let written = 0;
         for (let at = 0; at < 9_000; at += STEP_MS) {
             for (let count = 0; count < perStep; count++) {
@@ -246,17 +247,17 @@
             await time.advance(STEP_MS);
         }
         const newest = Math.max(...[...known.values()].map(entry => Number(entry.value)));
-        const behindMs = (written - newest) * BEAT_MS / WORKERS;
+        const behindMs = (written - newest) * WORKER_WRITE_INTERVAL_MS / WORKERS;
         stop();
-        expect(behindMs).toBeLessThanOrEqual(EVERY_MS + 2 * STEP_MS);
-        expect(getAgeMs()).toBeLessThanOrEqual(EVERY_MS + 2 * STEP_MS);
+        expect(behindMs).toBeLessThanOrEqual(POLL_INTERVAL_MS + 2 * STEP_MS);
+        expect(getAgeMs()).toBeLessThanOrEqual(POLL_INTERVAL_MS + 2 * STEP_MS);
     });
 
-    test("does not count as current as long as changes are left out", async () => {
+    test("does not count as current while changes are missing", async () => {
         const LAST_ANSWERED_MS = 608;
         const { time, store, known, getAgeMs, stop } = open(
             (now, call) => call === "feed" && now > LAST_ANSWERED_MS ? "silent" : "none",
-            EVERY_MS,
+            POLL_INTERVAL_MS,
         );
         await time.advance(100);
         for (let count = 0; count < 600; count++) {
--- a/src/rows/__tests__/storeHealth.test.ts
+++ b/src/rows/__tests__/storeHealth.test.ts
@@ -16,7 +16,7 @@
         }
         return refusing ? refused : good;
     };
-    const away = { kind: "unavailable" as const, message: "m" };
+    const unavailable = { kind: "unavailable" as const, message: "m" };
     const store: rows.RowStore = {
         transact: (_tx, timeoutMs) =>
             answer<rows.TransactResult>({ kind: "committed", version: 1 }, { kind: "refused", message: "m" }, {
@@ -24,9 +24,14 @@
                 message: "m",
             }, timeoutMs),
         read: (_range, timeoutMs) =>
-            answer<rows.ReadResult>({ kind: "read", rows: [], hasMore: false, version: 1 }, away, away, timeoutMs),
+            answer<rows.ReadResult>(
+                { kind: "read", rows: [], hasMore: false, version: 1 },
+                unavailable,
+                unavailable,
+                timeoutMs,
+            ),
         feed: (_table, _after, _waitMs, timeoutMs) =>
-            answer<rows.FeedResult>({ kind: "changes", rows: [], version: 1 }, away, away, timeoutMs),
+            answer<rows.FeedResult>({ kind: "changes", rows: [], version: 1 }, unavailable, unavailable, timeoutMs),
     };
     const controller = new AbortController();
     const health = storeHealth.createStoreHealth({
@@ -34,8 +39,8 @@
         clock: time,
         signal: controller.signal,
         probe: { table: "t", part: "" },
-        onUnreachable: () => events.push(`away at ${time.now()}`),
-        onReachable: () => events.push(`back at ${time.now()}`),
+        onUnreachable: () => events.push(`unreachable at ${time.now()}`),
+        onReachable: () => events.push(`reachable at ${time.now()}`),
     });
     return {
         time,
@@ -51,21 +56,21 @@
 }
 
 describe("health of the store", () => {
-    test("one call without an answer is enough, and a probe finds the return", async () => {
+    test("one unanswered call makes the store unreachable, and a probe detects its recovery", async () => {
         const { time, health, events, setReachable } = open();
         setReachable(false);
         void health.store.transact(TX, 300);
         await time.advance(2_000);
-        expect(health.getAwayMs()).toBeDefined();
+        expect(health.getUnreachableMs()).toBeDefined();
         setReachable(true);
         await time.advance(1_000);
-        expect(health.getAwayMs()).toBeUndefined();
+        expect(health.getUnreachableMs()).toBeUndefined();
         expect(events).toHaveLength(2);
     });
 
-    test("a call that went out in silence is given up when the store is back", async () => {
-        // Symptom: after an outage nothing is stored for up to a second more. Sequence: a write goes out in the last moment
-        // of the silence; the store comes back, and the write waits for its timeout. Cause: nobody told it.
+    test("a write sent while the store was silent is abandoned when the store is reachable again", async () => {
+        // Guards against up to a second more without stored writes after an outage: a write is sent in the last moment
+        // of the silence and waits for its timeout although the store is reachable again.
         const { time, health, setReachable } = open();
         setReachable(false);
         void health.store.transact(TX, 300);
@@ -78,40 +83,40 @@
         setReachable(true);
         await time.advance(1_000);
         expect(outcome?.kind).toBe("unknown");
-        expect(health.getAwayMs()).toBeUndefined();
+        expect(health.getUnreachableMs()).toBeUndefined();
     });
 
-    test("a silent poll is checked by a call of its own", async () => {
-        // Symptom: callers are sent for 5 s to an instance that is cut off. Sequence: it only polls, and three polls
-        // have to fail. Cause: a poll says little, and nothing else was asked.
+    test("an unanswered poll is followed by a separate call", async () => {
+        // Guards against callers that are sent for 5 s to an instance that is cut off: it only polls, and a failed poll
+        // counts little, so three of them have to fail.
         const { time, health, setReachable } = open();
         setReachable(false);
         void health.store.feed("t", 0, 700, 1_200);
         await time.advance(1_200 + 100 + 500);
-        expect(health.getAwayMs()).toBeDefined();
+        expect(health.getUnreachableMs()).toBeDefined();
     });
 
-    test("a poll that fails alone, on its own connection, changes nothing", async () => {
+    test("a single poll that fails on its own connection does not make the store unreachable", async () => {
         const { time, health, setReachable, events } = open();
         setReachable(false);
         void health.store.feed("t", 0, 700, 1_200);
         await time.advance(1_100);
         setReachable(true);
         await time.advance(2_000);
-        expect(health.getAwayMs()).toBeUndefined();
+        expect(health.getUnreachableMs()).toBeUndefined();
         expect(events).toEqual([]);
     });
 
-    test("a store that turns every call away is away, one that did so once is not", async () => {
+    test("repeated refusals make the store unreachable, a single one does not", async () => {
         const { time, health, setRefusing } = open();
         setRefusing(true);
         await health.store.transact(TX, 300);
         setRefusing(false);
         await time.advance(400);
-        expect(health.getAwayMs()).toBeUndefined();
+        expect(health.getUnreachableMs()).toBeUndefined();
         setRefusing(true);
         await health.store.transact(TX, 300);
         await time.advance(400);
-        expect(health.getAwayMs()).toBeDefined();
+        expect(health.getUnreachableMs()).toBeDefined();
     });
 });
--- a/src/rows/followTable.ts
+++ b/src/rows/followTable.ts
@@ -1,20 +1,21 @@
 /**
- * Follows one table: reads it whole, then its changes, and reads it anew after a gap in the history.
+ * Follows one table: reads it whole, then polls for its changes, and reads it whole again after a gap in the history.
  *
- * What goes wrong without the short wait: a connection to the store can fall silent without a reset, and a poll of
- * half a minute on it hears of no change for that long; callers' keys that were taken away go on working. Each poll
- * that finds nothing ends within a second, so that a silent connection is given up a moment later.
+ * Polls are short. A connection to the store can go silent without a reset, and a poll of half a minute would miss all
+ * changes for that long, so that revoked keys go on working. A poll without changes ends within a second, and a silent
+ * connection is abandoned soon after.
  *
- * What goes wrong where a poll that finds something is given up as soon: a table that has grown never arrives over a
- * weak link: each poll is given up while the answer is coming, and the next one begins anew. One notices a configuration
- * that some instances never hear of. Here only silence ends an answer that has begun.
+ * An answer that has begun is abandoned only on silence. With a bound on the whole answer a large table would never
+ * arrive over a weak link: each poll would be abandoned in the middle of its answer, and some instances would never see
+ * a new configuration.
  */
 import * as clock from "../clock/index";
 import type * as observe from "../observe/index";
 import * as rows from "./index";
 import * as readAll from "./readAll";
-import * as tableContact from "./tableFreshness";
+import * as tableFreshness from "./tableFreshness";
 
+/** Which table to follow, and the callbacks that receive its rows. */
 export interface TableFollowerOptions {
     readonly store: rows.RowStore;
     readonly clock: clock.Clock;
@@ -24,90 +25,93 @@
     readonly part: string;
     readonly signal: AbortSignal;
     /**
-     * Asks for changes so often, and waits for none: for a table of which some row changes all the time, where each
-     * change would cost a call. Without it a poll waits for a change.
+     * Polls at this interval without waiting for a change: for a table that changes all the time, where each change
+     * would cost a call. If absent, a long poll waits for a change.
      */
     readonly pollIntervalMs?: number;
-    /** All rows of the table, after the first read and after each gap. */
+    /** Called with all rows of the table after the first read and after each gap. */
     onSnapshot(all: readonly rows.Row[]): void;
     onChanges(changes: readonly rows.RowChange[]): void;
-    /** Called after each answer of the store, also when nothing changed, but for those that leave changes out. */
+    /** Called after each answer, also without changes, except for those that are full pages and leave changes out. */
     onReadSucceeded?(): void;
-    /** Called when a call got no answer or was turned away. */
+    /** Called when a call got no answer or was refused. */
     onReadFailed?(message: string): void;
 }
 
+/** A running follower of a table. */
 export interface TableFollower {
-    /** Milliseconds since the moment as of which the table is known for certain; `Infinity` before the first answer. */
+    /** Milliseconds since the table was certainly current; `Infinity` before the first answer. */
     getAgeMs(): number;
-    /** Resolves when the follower has stopped. */
+    /** Resolves when the follower has stopped after the signal. */
     readonly done: Promise<void>;
 }
 
-/** How long one poll waits for a change: the time until a silent connection is noticed is this and the slack. */
+/** Wait of one long poll for a change; a silent connection is noticed after this and the slack. */
 const POLL_WAIT_MS = 700;
-/** Beyond the wait: an answer normally begins after 5 ms; of a store that is 60 times slower after 300 ms. */
+/** Time beyond the wait: an answer normally begins after 5 ms, or after 300 ms if the store is 60 times slower. */
 const POLL_SLACK_MS = 500;
-/** Without a byte of an answer. */
-const READ_SILENCE_MS = 1_200;
-/** Pause after a failed call: long enough not to overrun a store that returns, short beside a second. */
+/** Idle timeout of a read of the whole table. */
+const READ_IDLE_TIMEOUT_MS = 1_200;
+/** Pause after a failed call: long enough not to overload a store that recovers, short compared with a second. */
 const RETRY_PAUSE_MS = 150;
-/** After a failed call a table that is asked for its changes is asked as often as after a failure, for this long. */
-const CATCH_UP_MS = 3_000;
+/** For this long after a failed call an interval poll uses the shorter pause after failures. */
+const RECOVERY_POLL_MS = 3_000;
 
+/** Starts to follow a table until the signal is aborted. */
 export function followTable(options: TableFollowerOptions): TableFollower {
-    const contact = tableContact.createTableFreshness(options);
-    return { done: follow(options, contact), getAgeMs: contact.getAgeMs };
+    const freshness = tableFreshness.createTableFreshness(options);
+    return { done: follow(options, freshness), getAgeMs: freshness.getAgeMs };
 }
 
-/** Ends without a word after the signal, also when an answer is on its way: its taker may be gone. */
-async function follow(options: TableFollowerOptions, contact: tableContact.TableFreshness): Promise<void> {
-    const { store, clock: time, table, signal, pollIntervalMs: everyMs = 0 } = options;
-    const fullWaitMs = everyMs > 0 ? 0 : POLL_WAIT_MS;
-    let waitMs = fullWaitMs;
+/** Calls no callback after the signal, even if an answer is pending: the receiver may already be closed. */
+async function follow(options: TableFollowerOptions, freshness: tableFreshness.TableFreshness): Promise<void> {
+    const { store, clock: time, table, signal, pollIntervalMs = 0 } = options;
+    const longPollMs = pollIntervalMs > 0 ? 0 : POLL_WAIT_MS;
+    let waitMs = longPollMs;
     /**
-     * The latest answer was a full page, so that more has changed already. What goes wrong where the next one waits for its
-     * time: a table that changes by more than a page in that time is known later and later. One notices tasks that start
-     * on workers that have drained for seconds, on sites of more than a thousand.
+     * The latest answer was a full page, so there are more changes. If the next poll waited for its interval, a table
+     * that changes by more than a page in an interval would be known later and later: with more than a thousand
+     * workers, tasks would start on workers that have been draining for seconds.
      */
     let isBehind = false;
-    let lostAt = -Infinity;
-    /** What others could not write while the store was away they write when it is back, and it is waited for. */
-    const getPauseMs = () => time.now() - lostAt < CATCH_UP_MS ? Math.min(everyMs, RETRY_PAUSE_MS) : everyMs;
-    const keep = (askedAt: clock.Timestamp, asOf = askedAt) => {
-        contact.recordSuccess(askedAt, asOf);
-        // An answer that took long counts from its call; the next one, at once, tells whether more has changed since.
-        waitMs = contact.getAgeMs() > POLL_WAIT_MS + POLL_SLACK_MS ? 0 : fullWaitMs;
+    let failedAt = -Infinity;
+    /** After an outage other processes write what they could not write before, so the changes are read sooner. */
+    const getPauseMs = () =>
+        time.now() - failedAt < RECOVERY_POLL_MS ? Math.min(pollIntervalMs, RETRY_PAUSE_MS) : pollIntervalMs;
+    const noteSuccess = (askedAt: clock.Timestamp, asOf = askedAt) => {
+        freshness.recordSuccess(askedAt, asOf);
+        // An answer is current as of its call. After a slow one the next poll does not wait, so the age soon drops.
+        waitMs = freshness.getAgeMs() > POLL_WAIT_MS + POLL_SLACK_MS ? 0 : longPollMs;
         options.onReadSucceeded?.();
     };
-    const lose = async (message: string) => {
-        // The next answer comes at once, so that what is known is not taken for old for longer than need be.
+    const noteFailure = async (message: string) => {
+        // The next poll does not wait for a change, so that the table counts as current again as soon as possible.
         waitMs = 0;
-        lostAt = time.now();
-        contact.recordFailure(message);
+        failedAt = time.now();
+        freshness.recordFailure(message);
         options.onReadFailed?.(message);
         await time.sleep(RETRY_PAUSE_MS, signal);
     };
-    /** Both return the version up to which the table is known then; `undefined`: it has to be read whole. */
+    /** Like `poll`, returns the version up to which the table is known, or `undefined` if it has to be read whole. */
     const readWhole = async (): Promise<number | undefined> => {
         const askedAt = clock.getTimestamp(time);
         const range = { table, part: options.part };
-        const all = await readAll.readAll(store, range, READ_SILENCE_MS, rows.MAX_ANSWER_MS);
+        const all = await readAll.readAll(store, range, READ_IDLE_TIMEOUT_MS, rows.MAX_ANSWER_MS);
         if (signal.aborted) {
             return undefined;
         }
         if (all.kind !== "read") {
-            await lose(all.message);
+            await noteFailure(all.message);
             return undefined;
         }
-        keep(askedAt);
+        noteSuccess(askedAt);
         options.onSnapshot(all.rows);
         return all.version;
     };
     const poll = async (after: number): Promise<number | undefined> => {
         const askedAt = clock.getTimestamp(time);
-        const heldMs = waitMs;
-        const changes = await store.feed(table, after, heldMs, heldMs + POLL_SLACK_MS, rows.MAX_ANSWER_MS);
+        const pollWaitMs = waitMs;
+        const changes = await store.feed(table, after, pollWaitMs, pollWaitMs + POLL_SLACK_MS, rows.MAX_ANSWER_MS);
         if (signal.aborted) {
             return undefined;
         }
@@ -116,19 +120,19 @@
                 isBehind = changes.rows.length >= rows.MAX_PAGE_ROWS;
                 if (changes.rows.length > 0) {
                     if (!isBehind) {
-                        keep(askedAt);
+                        noteSuccess(askedAt);
                     }
                     options.onChanges(changes.rows);
                 }
                 else {
-                    keep(askedAt, getEndOfWait(time, askedAt, heldMs));
+                    noteSuccess(askedAt, getEndOfWait(time, askedAt, pollWaitMs));
                 }
                 return Math.max(after, changes.version);
             case "gap":
                 options.log.info("historyGap", { table, after });
                 return undefined;
             case "unavailable":
-                await lose(changes.message);
+                await noteFailure(changes.message);
                 return after;
         }
     };
@@ -138,7 +142,7 @@
             after = await readWhole();
             continue;
         }
-        if (everyMs > 0 && !isBehind) {
+        if (pollIntervalMs > 0 && !isBehind) {
             await time.sleep(getPauseMs(), signal);
         }
         isBehind = false;
@@ -146,8 +150,8 @@
     }
 }
 
-/** A poll that finds nothing is held by the store for its wait, and so tells of changes up to the end of it. */
-function getEndOfWait(time: clock.Clock, askedAt: clock.Timestamp, heldMs: number): clock.Timestamp {
-    const wasHeld = time.now() - askedAt.monotonicMs >= heldMs;
-    return wasHeld ? clock.addMs(askedAt, heldMs) : askedAt;
+/** The store holds a poll without changes for its whole wait, so its answer covers all changes up to the end of it. */
+function getEndOfWait(time: clock.Clock, askedAt: clock.Timestamp, waitMs: number): clock.Timestamp {
+    const waitedFully = time.now() - askedAt.monotonicMs >= waitMs;
+    return waitedFully ? clock.addMs(askedAt, waitMs) : askedAt;
 }
--- a/src/rows/instrumentedStore.ts
+++ b/src/rows/instrumentedStore.ts
@@ -1,7 +1,8 @@
-/** A store whose calls are counted by their outcome. */
+/** Wraps a store and counts its calls by outcome. */
 import type * as observe from "../observe/index";
 import type * as rows from "./index";
 
+/** Returns a store that counts each call in `store_calls_total`. */
 export function createInstrumentedStore(store: rows.RowStore, meter: observe.Meter): rows.RowStore {
     const count = async <T extends { readonly kind: string; }>(call: string, answer: Promise<T>): Promise<T> => {
         const result = await answer;
@@ -10,7 +11,7 @@
     };
     return {
         transact: (tx, timeoutMs) => count("transact", store.transact(tx, timeoutMs)),
-        read: (range, timeoutMs, mostMs) => count("read", store.read(range, timeoutMs, mostMs)),
+        read: (range, timeoutMs, totalTimeoutMs) => count("read", store.read(range, timeoutMs, totalTimeoutMs)),
         feed: (...call) => count("feed", store.feed(...call)),
     };
 }
--- a/src/rows/readAll.ts
+++ b/src/rows/readAll.ts
@@ -1,8 +1,9 @@
+/** Reads of ranges and tables that span several pages. */
 import type * as rows from "./index";
 
 /**
- * Reads a whole range page by page. The version is that of the first page: whoever follows the changes from it
- * sees again what changed while later pages were read, and misses nothing. The timeouts are those of one page.
+ * Reads a whole range page by page. The returned version is that of the first page: following the changes from it
+ * repeats those made while later pages were read, and misses none. The timeouts apply to each page.
  */
 export async function readAll(
     store: rows.RowStore,
@@ -24,14 +25,14 @@
         if (!page.hasMore || !last) {
             return { kind: "read", rows: all, hasMore: false, version };
         }
-        // The smallest key behind the last one read.
+        // The first possible key after the last one read.
         from = `${last.key}\u0001`;
     }
 }
 
 /**
- * Reads several parts of a table at once, each whole. The version is the lowest of theirs: whoever follows the table
- * from it sees some changes again, and misses none.
+ * Reads several parts of a table concurrently, each whole. The returned version is the lowest of theirs: following the
+ * table from it repeats some changes and misses none. The timeouts apply to each page.
  */
 export async function readParts(
     store: rows.RowStore,
--- a/src/rows/tableFreshness.ts
+++ b/src/rows/tableFreshness.ts
@@ -1,12 +1,13 @@
 /**
- * What a follower knows of how current its table is, told in lines and figures.
+ * Tracks how current a followed table is, and reports it in the log and in metrics.
  *
- * What goes wrong without it: the store answers all other calls, one table's reads fail again and again, and the
- * instance goes on with what it read last. Nothing in its lines or figures says so.
+ * The reads of one table may fail while the store answers all other calls. The instance then goes on with old rows, and
+ * no other log line or metric shows it.
  */
 import * as clock from "../clock/index";
 import type * as observe from "../observe/index";
 
+/** The table and the ports through which its freshness is reported. */
 export interface TableFreshnessOptions {
     readonly clock: clock.Clock;
     readonly log: observe.Log;
@@ -15,42 +16,44 @@
     readonly signal: AbortSignal;
 }
 
+/** Freshness of a followed table. */
 export interface TableFreshness {
-    /** An answer to what was asked at `askedAt` has come whole; it holds whatever was written before `asOf`. */
+    /** Records a complete answer to a call sent at `askedAt`; it covers all writes before `asOf`. */
     recordSuccess(askedAt: clock.Timestamp, asOf: clock.Timestamp): void;
-    /** An answer has not come, or not whole. */
+    /** Records a call without a complete answer. */
     recordFailure(why: string): void;
-    /** Milliseconds since the moment as of which the table is known for certain; `Infinity` before the first answer. */
+    /** Milliseconds since the table was certainly current; `Infinity` before the first answer. */
     getAgeMs(): number;
 }
 
+/** Creates the freshness of a table without any answer yet, and registers its gauge until the signal is aborted. */
 export function createTableFreshness(options: TableFreshnessOptions): TableFreshness {
     const { clock: time, log, meter, table } = options;
-    let currentAt: clock.Timestamp | undefined;
-    let lostAt: number | undefined;
+    let currentAsOf: clock.Timestamp | undefined;
+    let failingSince: number | undefined;
     let failures = 0;
-    const getAgeMs = () => currentAt ? clock.getElapsedMs(time, currentAt) : Infinity;
-    const endGauge = meter.registerGauges(() =>
-        currentAt ? [{ metric: "table_age_ms", labels: { table }, value: Math.round(getAgeMs()) }] : []
+    const getAgeMs = () => currentAsOf ? clock.getElapsedMs(time, currentAsOf) : Infinity;
+    const unregisterGauge = meter.registerGauges(() =>
+        currentAsOf ? [{ metric: "table_age_ms", labels: { table }, value: Math.round(getAgeMs()) }] : []
     );
-    options.signal.addEventListener("abort", endGauge, { once: true });
+    options.signal.addEventListener("abort", unregisterGauge, { once: true });
     return {
         recordSuccess: (askedAt, asOf) => {
-            currentAt = asOf;
+            currentAsOf = asOf;
             meter.increment("table_reads_total", { table, outcome: "whole" });
             meter.record("table_read_duration_ms", { table }, time.now() - askedAt.monotonicMs);
-            if (lostAt !== undefined) {
-                log.info("tableRegained", { table, lostMs: Math.round(time.now() - lostAt), failures });
-                lostAt = undefined;
+            if (failingSince !== undefined) {
+                log.info("tableRegained", { table, lostMs: Math.round(time.now() - failingSince), failures });
+                failingSince = undefined;
                 failures = 0;
             }
         },
         recordFailure: why => {
             failures++;
             meter.increment("table_reads_total", { table, outcome: "failed" });
-            if (lostAt === undefined) {
-                lostAt = time.now();
-                const ageMs = currentAt && Math.round(getAgeMs());
+            if (failingSince === undefined) {
+                failingSince = time.now();
+                const ageMs = currentAsOf && Math.round(getAgeMs());
                 log.warn("tableLost", { table, why, ageMs });
             }
         },
