--- a/src/intake/index.ts
+++ b/src/intake/index.ts
@@ -1,2 +1,2 @@
-/** Callers' requests, as every instance takes them. */
+/** Intake of caller requests; every instance accepts them. */
 export { type Caller, createIntake, type Intake, type IntakeOptions, type IntakeReply } from "./intake";
--- a/src/relay/__tests__/peers.test.ts
+++ b/src/relay/__tests__/peers.test.ts
@@ -10,7 +10,7 @@
     deadlineMs: 2_900,
     body: "{\"spec\":\"\u00e9\"}",
 };
-/** No test waits for it but the one of a peer that is silent. */
+/** Not reached in any test; the test of a peer without an answer sets its own. */
 const TIMEOUT_MS = 5_000;
 
 async function open(handle: (request: relay.CallerRequest) => Promise<relay.CallerReply>, isFresh = true) {
@@ -36,13 +36,13 @@
     };
 }
 
-describe("a request that is passed on", () => {
+describe("a forwarded request", () => {
     const replies: ReadonlyArray<{ readonly name: string; readonly reply: relay.CallerReply; }> = [
         { name: "accepted", reply: { status: 200, body: { state: "running" } } },
         { name: "refused", reply: { status: 503, retryAfterMs: 900, body: { error: "r" } } },
         { name: "without a body", reply: { status: 410 } },
     ];
-    test.each(replies)("arrives as it was, and its reply comes back: $name", async ({ reply }) => {
+    test.each(replies)("arrives unchanged, and so does its reply: $name", async ({ reply }) => {
         const seen: relay.CallerRequest[] = [];
         const peer = await open(async request => {
             seen.push(request);
@@ -51,10 +51,13 @@
         const answer = await peer.send(REQUEST);
         await peer.close();
         expect(seen).toEqual([REQUEST]);
-        expect(answer).toEqual({ kind: "replied", passed: { reply, configurationVersion: 7, peers: ["10.0.0.1:1"] } });
+        expect(answer).toEqual({
+            kind: "replied",
+            forwarded: { reply, configurationVersion: 7, peers: ["10.0.0.1:1"] },
+        });
     });
 
-    test("to a process that is gone was never sent", async () => {
+    test("to a process that has ended was never sent", async () => {
         const peer = await open(async () => ({ status: 200 }));
         await peer.close();
         const client = calls.createHttpClient(1);
@@ -76,7 +79,7 @@
         await peer.close();
     });
 
-    test("is not handled under an older configuration than it names", async () => {
+    test("is not handled under an older configuration than its minimum version", async () => {
         let handled = false;
         const peer = await open(async () => {
             handled = true;
@@ -84,11 +87,11 @@
         });
         const answer = await peer.send(REQUEST, { leastVersion: 8 });
         await peer.close();
-        expect(answer).toMatchObject({ passed: { reply: { status: 503 }, configurationVersion: 7 } });
+        expect(answer).toMatchObject({ forwarded: { reply: { status: 503 }, configurationVersion: 7 } });
         expect(handled).toBe(false);
     });
 
-    test("is not handled where a change may be due that is not known", async () => {
+    test("is not handled by an instance whose configuration may be stale", async () => {
         let handled = false;
         const peer = await open(async () => {
             handled = true;
@@ -96,13 +99,13 @@
         }, false);
         const answer = await peer.send(REQUEST, { leastVersion: 7 });
         await peer.close();
-        expect(answer).toMatchObject({ passed: { reply: { status: 503 }, configurationVersion: 7 } });
+        expect(answer).toMatchObject({ forwarded: { reply: { status: 503 }, configurationVersion: 7 } });
         expect(handled).toBe(false);
     });
 
     const malformed = ["", "null", "{}", "{\"request\":{\"method\":1,\"path\":\"/\"}}", "x".repeat(2_000_000)];
     test.each(malformed.map(text => ({ text, name: text.slice(0, 30) })))(
-        "that is malformed reaches nobody: $name",
+        "is answered with status 400 if it is malformed: $name",
         async ({ text }) => {
             const seen: relay.CallerRequest[] = [];
             const peer = await open(async request => {
@@ -124,9 +127,9 @@
         },
     );
 
-    test("to a stopping instance is answered, and then no more are taken", async () => {
-        // Symptom: a request is left open at each replacement of a peer. Sequence: it is being handled when the peer
-        // stops. Cause: the peer closes its connections instead of finishing.
+    test("to a stopping instance is answered, and later ones are not accepted", async () => {
+        // Guards against an undecided request at each replacement of a peer: the request is being handled when the peer
+        // stops, and the peer closes its connections instead of answering first.
         const held: Array<(reply: relay.CallerReply) => void> = [];
         const peer = await open(() => new Promise(resolve => held.push(resolve)));
         const pending = peer.send(REQUEST);
@@ -142,20 +145,20 @@
     });
 });
 
-// Symptom: an instance refuses every request as out of date. Sequence: a peer's answer names a version that is none.
-// Cause: it was remembered as the newest that anyone has seen.
-describe("a peer's answer that cannot be right", () => {
-    const sound = { reply: { status: 200 }, configurationVersion: 3, peers: ["10.0.0.1:1"] };
+// Guards against an instance that refuses every request as stale: the answer of a peer holds an invalid version, which
+// is kept as the newest one seen.
+describe("an answer of a peer", () => {
+    const valid = { reply: { status: 200 }, configurationVersion: 3, peers: ["10.0.0.1:1"] };
     const cases: ReadonlyArray<readonly [name: string, answer: unknown, kind: string]> = [
-        ["none of it", sound, "replied"],
-        ["a status that is a text", { ...sound, reply: { status: "200" } }, "silent"],
-        ["a status out of range", { ...sound, reply: { status: 1_000 } }, "silent"],
-        ["a version that is a text", { ...sound, configurationVersion: "9" }, "silent"],
-        ["a version beyond all numbers", { ...sound, configurationVersion: 1e300 }, "silent"],
-        ["no version", { reply: sound.reply }, "silent"],
-        ["a list", [sound], "silent"],
+        ["valid fields", valid, "replied"],
+        ["a string as status", { ...valid, reply: { status: "200" } }, "silent"],
+        ["a status out of range", { ...valid, reply: { status: 1_000 } }, "silent"],
+        ["a string as version", { ...valid, configurationVersion: "9" }, "silent"],
+        ["a version out of range", { ...valid, configurationVersion: 1e300 }, "silent"],
+        ["no version", { reply: valid.reply }, "silent"],
+        ["an array instead of an object", [valid], "silent"],
     ];
-    test.each(cases)("with %s", async (_name, body, kind) => {
+    test.each(cases)("with %s is decoded or rejected as a whole", async (_name, body, kind) => {
         const client: calls.HttpClient = {
             call: async () => ({ kind: "answered", status: 200, body: JSON.stringify(body) }),
             close: () => undefined,
@@ -164,13 +167,13 @@
         expect(answer.kind).toBe(kind);
     });
 
-    test("names only peers that can be called", async () => {
+    test("is stripped of peers without a valid address", async () => {
         const peers = ["10.0.0.1:1", 7, "", "nowhere", "10.0.0.2:2"];
         const client: calls.HttpClient = {
-            call: async () => ({ kind: "answered", status: 200, body: JSON.stringify({ ...sound, peers }) }),
+            call: async () => ({ kind: "answered", status: 200, body: JSON.stringify({ ...valid, peers }) }),
             close: () => undefined,
         };
         const answer = await relay.createPeerClient(client)("a:1", { request: REQUEST, leastVersion: 0 }, TIMEOUT_MS);
-        expect(answer).toMatchObject({ kind: "replied", passed: { peers: ["10.0.0.1:1", "10.0.0.2:2"] } });
+        expect(answer).toMatchObject({ kind: "replied", forwarded: { peers: ["10.0.0.1:1", "10.0.0.2:2"] } });
     });
 });
--- a/src/relay/__tests__/relay.test.ts
+++ b/src/relay/__tests__/relay.test.ts
@@ -23,15 +23,15 @@
     configurationVersion = 1,
     peers: readonly string[] = [],
 ): relay.ForwardResult {
-    return { kind: "replied", passed: { reply, configurationVersion, peers } };
+    return { kind: "replied", forwarded: { reply, configurationVersion, peers } };
 }
 
 interface OpenOptions {
-    readonly storeAway?: boolean;
-    /** Whether a change may be due that is not known here. */
+    readonly storeUnreachable?: boolean;
+    /** Whether the configuration here may be stale. */
     readonly stale?: boolean;
     readonly answers?: Readonly<Record<string, relay.ForwardResult>>;
-    /** Known without being named by another; the ones that answer otherwise. */
+    /** Peers known without being named by another; by default all that have an answer. */
     readonly known?: readonly string[];
     readonly version?: () => number;
 }
@@ -47,12 +47,12 @@
         meter: { increment: () => undefined, record: () => undefined, registerGauges: () => () => undefined },
         getConfigurationVersion: options.version ?? (() => 1),
         isConfigurationFresh: () => !options.stale,
-        isStoreUnreachable: () => options.storeAway ?? false,
+        isStoreUnreachable: () => options.storeUnreachable ?? false,
         ownAddress: "self",
         getPeers: () => options.known ?? Object.keys(answers),
-        send: async (peer, passed) => {
+        send: async (peer, forwarded) => {
             asked.push(peer);
-            leastVersions.push(passed.leastVersion);
+            leastVersions.push(forwarded.leastVersion);
             return answers[peer]!;
         },
     });
@@ -64,33 +64,33 @@
         OpenOptions & {
             readonly name: string;
             readonly request?: relay.CallerRequest;
-            /** What comes of it here. */
+            /** Reply of this instance if it handles the request; by default `accepted`. */
             readonly here?: relay.CallerReply;
             readonly reply: relay.CallerReply;
             readonly asked: readonly string[];
-            /** Whether it is handled here as well. */
+            /** Whether this instance is expected to handle the request, too. */
             readonly handled: boolean;
         }
     > = [
         {
-            name: "is handled here while the store is there",
+            name: "is handled here while the store is reachable",
             answers: { leader: replied(accepted) },
             reply: accepted,
             asked: [],
             handled: true,
         },
         {
-            name: "goes to the leader while the store is away from here",
-            storeAway: true,
+            name: "goes to the leader while the store is unreachable from here",
+            storeUnreachable: true,
             answers: { leader: replied(accepted), other: silent },
             reply: accepted,
             asked: ["leader"],
             handled: false,
         },
         {
-            // Symptom: a queue that was removed is served by some instances. Sequence: their reads of the configuration
-            // take too long. Cause: nothing but the store's absence kept an instance from serving by what it had.
-            name: "goes to the leader while a change may be due that is not known here",
+            // Guards against instances that serve a removed queue: their reads of the configuration take too long, and
+            // only an outage of the store keeps them from serving under the old one.
+            name: "goes to the leader while the configuration here may be stale",
             stale: true,
             answers: { leader: replied({ status: 404 }) },
             reply: { status: 404 },
@@ -98,7 +98,7 @@
             handled: false,
         },
         {
-            name: "is refused while a change may be due here and no peer can serve it",
+            name: "is refused while the configuration here may be stale and no peer can serve it",
             stale: true,
             answers: { leader: unreachable },
             reply: { status: 503, retryAfterMs: 1_000, body: { error: "configuration out of date" } },
@@ -106,9 +106,9 @@
             handled: false,
         },
         {
-            name: "is not judged by an old configuration while the store is away either",
+            name: "is refused, too, if the store is unreachable, the configuration stale and no peer known",
             stale: true,
-            storeAway: true,
+            storeUnreachable: true,
             answers: {},
             reply: { status: 503, retryAfterMs: 1_000, body: { error: "configuration out of date" } },
             asked: [],
@@ -123,16 +123,16 @@
             handled: true,
         },
         {
-            name: "goes to the next peer when the first cannot be reached",
-            storeAway: true,
+            name: "goes to the next peer if the first is unreachable",
+            storeUnreachable: true,
             answers: { leader: unreachable, other: replied({ status: 410 }) },
             reply: { status: 410 },
             asked: ["leader", "other"],
             handled: false,
         },
         {
-            name: "goes to two peers at most",
-            storeAway: true,
+            name: "goes to at most two peers",
+            storeUnreachable: true,
             here: refused,
             answers: { a: unreachable, b: unreachable, c: replied(accepted) },
             reply: refused,
@@ -140,8 +140,8 @@
             handled: true,
         },
         {
-            name: "is refused as it would be here when peers lack the store as well",
-            storeAway: true,
+            name: "gets the refusal of this instance if the peers do not reach the store either",
+            storeUnreachable: true,
             here: refused,
             answers: { leader: replied({ status: 503, retryAfterMs: 1 }) },
             reply: refused,
@@ -149,10 +149,10 @@
             handled: true,
         },
         {
-            // Symptom: refusals beside instances that could serve. Sequence: the store turns the leader away, and one
-            // that has never led. Cause: the latter knows no other instance than the leader.
-            name: "goes to a peer that the leader names, and not to itself",
-            storeAway: true,
+            // Guards against refusals beside instances that could serve: the store rejects the calls of the leader and
+            // of an instance that has never led, and the latter knows only the leader.
+            name: "goes to a peer that the leader names, but not back to this instance",
+            storeUnreachable: true,
             answers: { leader: replied(refused, 1, ["self", "other"]), other: replied(accepted) },
             known: ["leader"],
             reply: accepted,
@@ -160,10 +160,10 @@
             handled: false,
         },
         {
-            // Symptom: a job runs that its caller was told is not accepted. Sequence: it is passed on, the peer
-            // stores it and its answer is lost; it is refused here. Cause: silence was taken for a refusal.
-            name: "is left open when a peer that may have carried it out is silent",
-            storeAway: true,
+            // Guards against a job that runs although its caller was told that it is not accepted: the peer stores it,
+            // its answer is lost, and this instance treats the silence as a refusal.
+            name: "is undecided if a peer that may have carried it out is silent",
+            storeUnreachable: true,
             here: refused,
             answers: { leader: silent, other: replied({ status: 503 }) },
             reply: { status: 504 },
@@ -171,16 +171,16 @@
             handled: false,
         },
         {
-            name: "may be asked of the next peer after silence when it changes nothing",
+            name: "goes to the next peer after a silent one if it changes nothing",
             request: GET,
-            storeAway: true,
+            storeUnreachable: true,
             answers: { leader: silent, other: replied({ status: 200, body: { state: "running" } }) },
             reply: { status: 200, body: { state: "running" } },
             asked: ["leader", "other"],
             handled: false,
         },
         {
-            name: "is settled by a peer when it was left open here",
+            name: "is decided by a peer if it was undecided here",
             here: undecided,
             answers: { leader: replied(accepted) },
             reply: accepted,
@@ -188,8 +188,9 @@
             handled: true,
         },
         {
-            // Symptom: as above. Cause: the peer's refusal says nothing of the write that went out from here.
-            name: "stays open when it was left open here and a peer refuses it",
+            // Guards against a job that runs although its caller was told that it is not accepted: the refusal of a
+            // peer does not cover the write that this instance has sent.
+            name: "stays undecided if it was undecided here and a peer refuses it",
             here: undecided,
             answers: { leader: replied({ status: 503 }) },
             reply: undecided,
@@ -197,8 +198,8 @@
             handled: true,
         },
         {
-            name: "is refused at once where no peer is known",
-            storeAway: true,
+            name: "is refused at once if no peer is known",
+            storeUnreachable: true,
             here: refused,
             reply: refused,
             asked: [],
@@ -217,10 +218,10 @@
         expect(handled).toBe(testCase.handled);
     });
 
-    test("leaves a silent peer alone for two seconds", async () => {
-        // Symptom: refusals take most of a second, one after the other. Sequence: peers are cut off as well. Cause:
-        // each request waits for them anew.
-        const opened = open({ storeAway: true, answers: { leader: silent } });
+    test("is not sent to a silent peer for two seconds", async () => {
+        // Guards against refusals that each take most of a second: the peers are cut off as well, and every request
+        // waits for them again.
+        const opened = open({ storeUnreachable: true, answers: { leader: silent } });
         const ask = () => opened.relay.answer(GET, async () => refused);
         await ask();
         await ask();
@@ -230,12 +231,12 @@
         expect(opened.asked).toHaveLength(2);
     });
 
-    test("is not handled here under an older configuration than the one that was seen through a peer", async () => {
-        // Symptom: a key that was taken away works again. Sequence: an instance that is cut off passes requests on,
-        // whose callers see the new configuration; then the peer is lost. Cause: the old one is still in force here.
+    test("is not handled here under an older configuration than a peer has replied under", async () => {
+        // Guards against a revoked key that works again: an instance that is cut off forwards requests, whose callers
+        // see the new configuration; then the peer is lost, and the old configuration is still in force here.
         let version = 3;
         const answers: Record<string, relay.ForwardResult> = { leader: replied(accepted, 4) };
-        const opened = open({ storeAway: true, answers, version: () => version });
+        const opened = open({ storeUnreachable: true, answers, version: () => version });
         expect(await opened.relay.answer(POST, async () => accepted)).toMatchObject(accepted);
         answers["leader"] = unreachable;
         expect(await opened.relay.answer(POST, async () => accepted)).toMatchObject({ status: 503 });
@@ -243,13 +244,13 @@
         expect(await opened.relay.answer(POST, async () => accepted)).toMatchObject(accepted);
     });
 
-    test("names the newest configuration that was in force here or seen through a peer", async () => {
-        // Symptom: a request is handled as only an older configuration allows, right after one under a newer. Sequence:
-        // configurations follow each other closely; requests are passed on to two peers in turn. Cause: the second
-        // peer is behind the first one, or behind the instance that passes on.
+    test("holds the newest configuration version in force here or seen through a peer", async () => {
+        // Guards against a request that is handled under an older configuration than the one before it: configurations
+        // change in quick succession, requests are forwarded to two peers in turn, and the second peer is behind the
+        // first one, or behind the forwarding instance.
         let version = 5;
         const answers: Record<string, relay.ForwardResult> = { leader: replied(accepted, 4) };
-        const opened = open({ storeAway: true, answers, version: () => version });
+        const opened = open({ storeUnreachable: true, answers, version: () => version });
         const ask = () => opened.relay.answer(POST, async () => refused);
         await ask();
         version = 3;
--- a/src/relay/index.ts
+++ b/src/relay/index.ts
@@ -1,4 +1,4 @@
-/** Callers' requests that this instance cannot serve, passed on to one that can. */
+/** Forwards caller requests that this instance cannot serve to an instance that can. */
 export { createForwardedRequestRoute } from "./forwardedRequestRoute";
 export type { CallerReply, CallerRequest, ForwardedReply, ForwardedRequest } from "./messages";
 export { createPeerClient } from "./peerClient";
--- a/src/relay/messages.ts
+++ b/src/relay/messages.ts
@@ -1,49 +1,54 @@
-/** What one instance passes on to another, and gets back: a caller's request as it came, and the reply to it. */
+/** Messages of request forwarding between instances: a caller's request, unchanged, and the reply to it. */
 
+/** A caller's request. */
 export interface CallerRequest {
     readonly method: string;
-    /** Without the query. */
+    /** Path of the URL without the query. */
     readonly path: string;
     readonly host: string;
-    /** The header as it came; empty: none. */
+    /** Value of the Authorization header, unchanged; empty if there was none. */
     readonly authorization: string;
-    /** Whatever names the request on its way, for the logs; empty: nothing. */
+    /** Correlates log lines of different instances about the request; empty if the caller sent none. */
     readonly requestId: string;
-    /** How much longer the caller waits, counted from when this was sent. */
+    /** How long the caller still waits, in milliseconds from the sending of this message. */
     readonly deadlineMs: number;
     readonly body: string;
 }
 
-/** A request as it is passed on. */
+/** A forwarded request. */
 export interface ForwardedRequest {
     readonly request: CallerRequest;
-    /** It must not be handled under an older configuration than this. */
+    /** Minimum version of the configuration under which the request may be handled. */
     readonly leastVersion: number;
 }
 
+/** The reply to a caller. */
 export interface CallerReply {
-    /** Of HTTP, as the caller gets it. */
+    /** HTTP status that the caller receives. */
     readonly status: number;
     readonly body?: unknown;
-    /** When the caller should come back. */
+    /** Delay after which the caller should retry. */
     readonly retryAfterMs?: number;
 }
 
+/** The reply to a forwarded request. */
 export interface ForwardedReply {
     readonly reply: CallerReply;
-    /** Version of the configuration that it was given under; 0: none. */
+    /** Version of the configuration under which the request was handled; 0 if there was none. */
     readonly configurationVersion: number;
-    /** Other instances that the one that replied knows: they may serve what it cannot. */
+    /** Addresses of other instances known to the replying one; they may serve what it cannot. */
     readonly peers: readonly string[];
 }
 
+/** Encodes a message as JSON. */
 export function encode(message: ForwardedRequest | ForwardedReply): string {
     return JSON.stringify(message);
 }
 
+/** Decodes a forwarded request; `undefined` if it is malformed. */
 export function decodeRequest(text: string): ForwardedRequest | undefined {
     const envelope = parse(text);
-    const fields = toFields(envelope?.["request"]);
+    const fields = toObject(envelope?.["request"]);
     if (!fields || typeof fields["method"] !== "string" || typeof fields["path"] !== "string") {
         return undefined;
     }
@@ -61,9 +66,10 @@
     };
 }
 
+/** Decodes the reply to a forwarded request; `undefined` if it is malformed. Invalid addresses of peers are dropped. */
 export function decodeReply(text: string): ForwardedReply | undefined {
     const fields = parse(text);
-    const reply = toFields(fields?.["reply"]);
+    const reply = toObject(fields?.["reply"]);
     if (!fields || !reply) {
         return undefined;
     }
@@ -84,10 +90,10 @@
 
 function parse(text: string): Record<string, unknown> | undefined {
     try {
-        return toFields(JSON.parse(text));
+        return toObject(JSON.parse(text));
     }
     catch {
-        // Whoever asked is told that there is no answer.
+        // A malformed request is answered with status 400; a malformed reply counts as no reply.
         return undefined;
     }
 }
@@ -96,7 +102,7 @@
     return Number.isInteger(value) && (value as number) >= 200 && (value as number) < 600;
 }
 
-/** One that is no version, taken for the newest, would have every later request refused as out of date. */
+/** An invalid version that is kept as the newest one seen would make the relay refuse every later request as stale. */
 function isVersion(value: unknown): value is number {
     return Number.isSafeInteger(value) && (value as number) >= 0;
 }
@@ -105,7 +111,7 @@
     return typeof value === "string" && /^[^\s:]+:\d{1,5}$/.test(value);
 }
 
-function toFields(value: unknown): Record<string, unknown> | undefined {
+function toObject(value: unknown): Record<string, unknown> | undefined {
     return typeof value === "object" && value ? value as Record<string, unknown> : undefined;
 }
 
--- a/src/relay/peerClient.ts
+++ b/src/relay/peerClient.ts
@@ -1,18 +1,20 @@
-/** Sends a caller's request to another instance. */
+/** Client that forwards a caller's request to another instance. */
 import type * as calls from "../calls/index";
 import * as messages from "./messages";
 import type * as relay from "./relay";
 
+/** Path of the route for forwarded requests. */
 export const REQUEST_PATH = "/request";
 const OK = 200;
 
+/** Creates the function with which a relay sends requests to peers. */
 export function createPeerClient(client: calls.HttpClient): relay.RelayOptions["send"] {
-    return async (peer, passed, timeoutMs) => {
+    return async (peer, forwarded, timeoutMs) => {
         const outcome = await client.call({
             address: peer,
             method: "POST",
             path: REQUEST_PATH,
-            body: messages.encode(passed),
+            body: messages.encode(forwarded),
             timeoutMs,
         });
         if (outcome.kind === "noAnswer") {
@@ -20,7 +22,7 @@
         }
         const replied = outcome.status === OK ? messages.decodeReply(outcome.body) : undefined;
         return replied
-            ? { kind: "replied", passed: replied }
-            : { kind: "silent", message: `status ${outcome.status}, no reply in it` };
+            ? { kind: "replied", forwarded: replied }
+            : { kind: "silent", message: `status ${outcome.status} without a valid reply` };
     };
 }
--- a/src/relay/relay.ts
+++ b/src/relay/relay.ts
@@ -1,132 +1,141 @@
 /**
- * Passes callers' requests to another instance while this one cannot serve them.
+ * Forwards caller requests to another instance (a peer) while this one cannot serve them.
  *
- * What goes wrong without it: the store turns single instances away, and the balancer needs two seconds to notice.
- * Callers who meet such an instance are refused and lose the second until their next try, though every other instance
- * could serve them. One notices refusals beside idle workers.
+ * The store may reject the calls of a single instance, and the load balancer takes two seconds to notice. Without
+ * forwarding, callers of that instance are refused and retry after a second although every other instance could serve
+ * them, and workers stay idle meanwhile.
  *
- * The same way goes what comes to an instance whose configuration may be out of date (`src/catalog/freshness.ts`).
+ * An instance whose configuration may be stale forwards its requests as well, see `src/catalog/freshness.ts`.
  *
- * The other instance handles the request as it came, key and route included, under its own configuration: the one here
- * may be out of date, since changes come through the store as well. It refuses where its own is the older one.
+ * The peer checks key and route again under its own configuration: the one here may be stale, since changes arrive
+ * through the store, too. The peer refuses the request if its own configuration is the older one.
  */
 import type * as clock from "../clock/index";
 import type * as observe from "../observe/index";
 import type * as messages from "./messages";
 import * as replies from "./replies";
 
+/** Result of forwarding a request to one peer. */
 export type ForwardResult =
-    | { readonly kind: "replied"; readonly passed: messages.ForwardedReply; }
-    /** It never saw the request. */
+    | { readonly kind: "replied"; readonly forwarded: messages.ForwardedReply; }
+    /** The peer did not receive the request. */
     | { readonly kind: "unreachable"; readonly message: string; }
-    /** It may have carried the request out, or may still do so. */
+    /** No valid reply: the peer may have carried out the request, or may still do so. */
     | { readonly kind: "silent"; readonly message: string; };
 
+/** Ports and state of this instance that the relay needs. */
 export interface RelayOptions {
     readonly clock: clock.Clock;
     readonly log: observe.Log;
     readonly meter: observe.Meter;
-    /** Version of the configuration in force here; 0: none. */
+    /** Version of the configuration in force here; 0 if there is none. */
     getConfigurationVersion(): number;
-    /** Whether callers may be served under it; not where a change may be due that has not been read here. */
+    /** Whether callers may be served under it; false if a change not yet read here may be in force elsewhere. */
     isConfigurationFresh(): boolean;
     isStoreUnreachable(): boolean;
-    /** Where other instances pass requests on to this one. */
+    /** Address on which this instance accepts forwarded requests; it never forwards to itself. */
     readonly ownAddress: string;
-    /** Addresses of other instances, the likeliest to serve first. */
+    /** Addresses of other instances, the one most likely to serve first. */
     getPeers(): readonly string[];
-    send(peer: string, passed: messages.ForwardedRequest, timeoutMs: number): Promise<ForwardResult>;
+    send(peer: string, forwarded: messages.ForwardedRequest, timeoutMs: number): Promise<ForwardResult>;
 }
 
+/** Serves requests here or through peers. */
 export interface Relay {
-    /** `handle` serves the request here; it is asked when no other instance can, or nothing is wrong here. */
+    /**
+     * Serves a request here by `handle`, or through a peer while this instance cannot serve it. While the configuration
+     * here is stale a request that no peer serves is refused.
+     */
     answer(
         request: messages.CallerRequest,
         handle: () => Promise<messages.CallerReply>,
     ): Promise<messages.CallerReply>;
 }
 
-/** Peers asked for one request: the leader, and one that the leader names where it is cut off itself. */
-const MOST_PEERS = 2;
-/** A reply takes some 15 ms, at a store that is 60 times slower 0.6 s. */
+/** Enough for the leader and, if the leader is cut off from the store, for a peer that it names. */
+const MAX_PEERS = 2;
+/** A reply takes about 15 ms, or 0.6 s if the store is 60 times slower. */
 const PEER_TIMEOUT_MS = 700;
-/** A peer that has lost the store a moment before refuses within this time, which leaves no outcome open. */
+/** Shorter than the timeout: a peer that has just lost the store refuses before it, and the outcome is known. */
 const PEER_DEADLINE_MS = 600;
-/** Asking for less is in vain: the reply has to get back to the caller as well. */
-const LEAST_TIMEOUT_MS = 50;
-/** A peer that was silent is left alone for this long, so that at most one request in it waits for nothing. */
-const SILENT_PAUSE_MS = 2_000;
-/** One that is there and cannot serve either, as when the whole store is away: a probe finds the store as often. */
-const UNABLE_PAUSE_MS = 200;
+/** With less time left a peer's reply would not reach the caller before its deadline. */
+const MIN_TIMEOUT_MS = 50;
+/** Backoff for a peer that did not reply: at most one request in this time waits for it in vain. */
+const SILENT_BACKOFF_MS = 2_000;
+/** Backoff for a peer that cannot serve either, as in a full outage of the store; equals the store's probe interval. */
+const UNABLE_BACKOFF_MS = 200;
 
+/** Creates the relay of one instance. */
 export function createRelay(options: RelayOptions): Relay {
     const { clock: time, log, meter } = options;
-    const pausedUntil = new Map<string, number>();
-    /** The newest configuration that a passed request was handled under. */
-    let versionSeen = 0;
+    const backoffUntil = new Map<string, number>();
+    /** Newest configuration version under which a peer handled a forwarded request. */
+    let newestVersion = 0;
     /**
-     * Peers that another instance has named. Without them an instance that has never led knows the leader alone, and
-     * can pass nothing on when the store turns the leader away as well.
+     * Peers that another instance has named. Without them an instance that has never led knows only the leader, and
+     * cannot forward anything when the store rejects the leader's calls, too.
      */
-    let named: readonly string[] = [];
+    let namedPeers: readonly string[] = [];
 
-    const pause = (peer: string, ms: number) => {
-        pausedUntil.set(peer, time.now() + ms);
+    const backOff = (peer: string, ms: number) => {
+        backoffUntil.set(peer, time.now() + ms);
     };
-    /** The likeliest peer to serve that is not paused. */
+    /** Returns the peer most likely to serve among those that are not in backoff. */
     const choosePeer = (): string | undefined => {
         const now = time.now();
-        for (const [peer, until] of pausedUntil) {
+        for (const [peer, until] of backoffUntil) {
             if (until <= now) {
-                pausedUntil.delete(peer);
+                backoffUntil.delete(peer);
             }
         }
-        return [...options.getPeers(), ...named].find(peer => peer !== options.ownAddress && !pausedUntil.has(peer));
+        return [...options.getPeers(), ...namedPeers].find(peer =>
+            peer !== options.ownAddress && !backoffUntil.has(peer)
+        );
     };
-    /** `undefined`: nobody could serve it, and nobody has carried it out. */
-    const pass = async (
+    /** Returns `undefined` if no peer could serve the request; then none has carried it out. */
+    const forward = async (
         request: messages.CallerRequest,
         deadlineAt: number,
     ): Promise<messages.CallerReply | undefined> => {
-        for (let tries = 0; tries < MOST_PEERS; tries++) {
+        for (let tries = 0; tries < MAX_PEERS; tries++) {
             const peer = choosePeer();
             const sentAt = time.now();
-            const leftMs = deadlineAt - sentAt;
-            if (peer === undefined || leftMs < LEAST_TIMEOUT_MS) {
+            const remainingMs = deadlineAt - sentAt;
+            if (peer === undefined || remainingMs < MIN_TIMEOUT_MS) {
                 break;
             }
-            const answer = await options.send(peer, {
-                request: { ...request, deadlineMs: Math.min(PEER_DEADLINE_MS, leftMs) },
-                // The peer may be behind this instance, or behind another one that was asked before.
-                leastVersion: Math.max(versionSeen, options.getConfigurationVersion()),
-            }, Math.min(PEER_TIMEOUT_MS, leftMs));
-            const outcome = answer.kind === "replied" ? String(answer.passed.reply.status) : answer.kind;
+            const result = await options.send(peer, {
+                request: { ...request, deadlineMs: Math.min(PEER_DEADLINE_MS, remainingMs) },
+                // The peer's configuration may be older than this instance's or that of a peer asked before.
+                leastVersion: Math.max(newestVersion, options.getConfigurationVersion()),
+            }, Math.min(PEER_TIMEOUT_MS, remainingMs));
+            const outcome = result.kind === "replied" ? String(result.forwarded.reply.status) : result.kind;
             meter.increment("requests_passed_total", { outcome });
             log.info("requestPassed", {
                 request: request.requestId,
                 call: `${request.method} ${request.path}`,
                 peer,
                 outcome,
-                version: answer.kind === "replied" ? answer.passed.configurationVersion : undefined,
+                version: result.kind === "replied" ? result.forwarded.configurationVersion : undefined,
                 tookMs: Math.round(time.now() - sentAt),
             });
-            switch (answer.kind) {
+            switch (result.kind) {
                 case "replied": {
-                    const { reply, configurationVersion, peers } = answer.passed;
-                    versionSeen = Math.max(versionSeen, configurationVersion);
-                    named = peers.length > 0 ? peers : named;
+                    const { reply, configurationVersion, peers } = result.forwarded;
+                    newestVersion = Math.max(newestVersion, configurationVersion);
+                    namedPeers = peers.length > 0 ? peers : namedPeers;
                     if (reply.status !== replies.Status.Unavailable) {
                         return reply;
                     }
-                    pause(peer, UNABLE_PAUSE_MS);
+                    backOff(peer, UNABLE_BACKOFF_MS);
                     break;
                 }
                 case "unreachable":
-                    pause(peer, SILENT_PAUSE_MS);
+                    backOff(peer, SILENT_BACKOFF_MS);
                     break;
                 case "silent":
-                    pause(peer, SILENT_PAUSE_MS);
-                    if (mayChange(request)) {
+                    backOff(peer, SILENT_BACKOFF_MS);
+                    if (isMutating(request)) {
                         return replies.NO_ANSWER;
                     }
                     break;
@@ -135,12 +144,11 @@
         return undefined;
     };
     /**
-     * What goes wrong without it: a caller has seen the effect of a new configuration through another instance, and
-     * the next request is handled here under the old one: a key that was taken away works again. Or a change is due
-     * that this instance has not been able to read.
+     * Refuses a request that would be handled under a stale configuration. Otherwise a caller that has seen the effect
+     * of a newer configuration through a peer gets the old one here, and a revoked key works again.
      */
-    const handleHere = async (handle: () => Promise<messages.CallerReply>): Promise<messages.CallerReply> =>
-        options.getConfigurationVersion() < versionSeen || !options.isConfigurationFresh()
+    const handleUnlessStale = async (handle: () => Promise<messages.CallerReply>): Promise<messages.CallerReply> =>
+        options.getConfigurationVersion() < newestVersion || !options.isConfigurationFresh()
             ? replies.OUT_OF_DATE
             : handle();
 
@@ -148,15 +156,15 @@
         answer: async (request, handle) => {
             const deadlineAt = time.now() + request.deadlineMs;
             if (options.isStoreUnreachable() || !options.isConfigurationFresh()) {
-                return await pass(request, deadlineAt) ?? handleHere(handle);
+                return await forward(request, deadlineAt) ?? handleUnlessStale(handle);
             }
-            const reply = await handleHere(handle);
-            // Jobs are named by their callers, so a submission or a cancellation may be handed in a second time.
-            return replies.isDecided(reply) ? reply : await pass(request, deadlineAt) ?? reply;
+            const reply = await handleUnlessStale(handle);
+            // Callers choose the job ids, so submissions and cancellations are idempotent and may be sent again.
+            return replies.isDecided(reply) ? reply : await forward(request, deadlineAt) ?? reply;
         },
     };
 }
 
-function mayChange(request: messages.CallerRequest): boolean {
+function isMutating(request: messages.CallerRequest): boolean {
     return request.method !== "GET";
 }
--- a/src/relay/replies.ts
+++ b/src/relay/replies.ts
@@ -1,24 +1,27 @@
-/** Replies of the relay's own, and what a reply decides. */
+/** Replies that the relay creates itself, and the classification of replies by status. */
 import type * as messages from "./messages";
 
-/** Replies that decide nothing: the first says that nothing was or will be done, the second leaves it open. */
+/** Statuses without a result: 503 means that nothing was or will be done, 504 leaves the outcome open. */
 export const Status = { Unavailable: 503, Undecided: 504 } as const;
 
-/** As after a refusal by an instance itself: most troubles are over by then. */
+/** The same as after a refusal by the intake: most disturbances are over by then. */
 const RETRY_AFTER_MS = 1_000;
 
+/** The request was refused because the configuration is stale. */
 export const OUT_OF_DATE: messages.CallerReply = {
     status: Status.Unavailable,
     retryAfterMs: RETRY_AFTER_MS,
     body: { error: "configuration out of date" },
 };
 
+/** A peer may have carried out the request, but did not reply. */
 export const NO_ANSWER: messages.CallerReply = {
     status: Status.Undecided,
     retryAfterMs: RETRY_AFTER_MS,
-    body: { error: "no answer" },
+    body: { error: "no answer from the instance that received the forwarded request" },
 };
 
+/** Whether a reply tells the outcome of its request. */
 export function isDecided({ status }: messages.CallerReply): boolean {
     return status !== Status.Unavailable && status !== Status.Undecided;
 }
