--- a/src/catalog/__tests__/currentCatalog.test.ts
+++ b/src/catalog/__tests__/currentCatalog.test.ts
@@ -41,9 +41,9 @@
         expect(found?.rest ?? "").toBe(rest);
     });
 
-    test("an older version, or the same again, is not put in force", () => {
-        // Symptom: a key that was taken away works again. Sequence: a feed is read anew after a gap, from a reader that
-        // is behind. Cause: whatever came last counted.
+    test("an older or equal version is not put in force", () => {
+        // Guards against a revoked key that works again: after a gap in the change feed the table is read again from a
+        // stale replica, and the latest read wins.
         const current = catalogs.createCurrentCatalog();
         expect(current.applyIfNewer(createCatalog(5, ["new"]))).toBe(true);
         expect(current.applyIfNewer(createCatalog(4, ["old"]))).toBe(false);
--- a/src/catalog/catalog.ts
+++ b/src/catalog/catalog.ts
@@ -1,46 +1,53 @@
 /** The operator's configuration in force: queues, services, client accounts and limits on requests. */
 
+/** Timing of the adviser of a queue, in milliseconds. */
 export interface AdviceTimings {
-    /** What a call to the adviser takes, and what each named worker adds to it. */
+    /** Base duration of a call to the adviser. */
     readonly decideMs: number;
+    /** Added to the duration for each worker named in the call. */
     readonly eachMs: number;
-    /** How long a ticket holds. */
+    /** Validity of a ticket. */
     readonly validMs: number;
 }
 
+/** A queue of jobs, addressed by host and path prefix. */
 export interface Queue {
     readonly name: string;
     readonly host: string;
     readonly pathPrefix: string;
     /** The service whose workers run the queue's tasks. */
     readonly service: string;
-    /** 0 comes first. */
+    /** 0 is the highest priority. */
     readonly priority: number;
-    /** Runs of a task, or of a gang, that may fail before the job has failed. */
+    /** Failed runs of a task or gang after which the job has failed. */
     readonly maxAttempts: number;
-    /** A job should end within this multiple of its longest chain of work, and `objectiveMs` more. */
+    /** A job should end within its critical path times `stretch`, plus `objectiveMs`. */
     readonly stretch: number;
     readonly objectiveMs: number;
+    /** Whether callers need the key of a client account. */
     readonly needsKey: boolean;
-    /** Set where an adviser decides which workers may run a step. */
+    /** Set if an adviser decides which workers may run a step. */
     readonly advice?: AdviceTimings;
 }
 
+/** A client account: its keys and its guarantee. */
 export interface Account {
     readonly name: string;
     readonly keys: readonly string[];
-    /** Accelerators that belong to the account's jobs of priority 0 at all times. */
+    /** Accelerators guaranteed to the account's jobs of priority 0 at all times. */
     readonly guaranteedAccelerators: number;
 }
 
+/** A group of workers that run the tasks of some queues. */
 export interface Service {
     readonly name: string;
-    /** Whether its workers refuse what does not fit, instead of starting whatever they are told to. */
+    /** Whether its workers refuse tasks that exceed their capacity instead of starting them. */
     readonly refusesOverload: boolean;
-    /** Whether its machines are switched off until they are moved elsewhere. */
+    /** Whether its machines are spares, switched off until they are moved to another service. */
     readonly spare: boolean;
 }
 
+/** Limits on requests of callers: sizes in bytes, timeouts in milliseconds. */
 export interface RequestLimits {
     readonly headerBytes: number;
     readonly bodyBytes: number;
@@ -48,6 +55,7 @@
     readonly idleTimeoutMs: number;
 }
 
+/** One version of the configuration. */
 export interface Catalog {
     readonly version: number;
     readonly queues: readonly Queue[];
--- a/src/catalog/currentCatalog.ts
+++ b/src/catalog/currentCatalog.ts
@@ -1,16 +1,17 @@
 /**
- * The catalog in force at this instance, with the lookups that each request needs.
+ * The catalog in force in this instance, with the lookups that each request needs.
  *
- * An older version is never put in force: a feed that is read anew after a gap may begin with a stale read, and a
- * key that was taken away would work again.
+ * An older version never replaces a newer one: when the table is read again after a gap in the change feed, the read
+ * may be stale, and a revoked key would work again.
  */
 import type * as catalog from "./catalog";
 
+/** The catalog in force, with lookups; all lookups return `undefined` before the first version. */
 export interface CurrentCatalog {
     get(): catalog.Catalog | undefined;
-    /** Returns whether the version was put in force. */
+    /** Puts the catalog in force if its version is newer; returns whether it did. */
     applyIfNewer(next: catalog.Catalog): boolean;
-    /** The queue with the longest prefix of the path at this host, and what follows the prefix. */
+    /** Finds the queue of this host with the longest matching path prefix. `rest` is the path after the prefix. */
     findQueue(host: string, path: string): { readonly queue: catalog.Queue; readonly rest: string; } | undefined;
     getQueue(name: string): catalog.Queue | undefined;
     getAccountByKey(key: string): catalog.Account | undefined;
@@ -25,6 +26,7 @@
     readonly accountsByName: ReadonlyMap<string, catalog.Account>;
 }
 
+/** Creates a holder without a catalog. */
 export function createCurrentCatalog(): CurrentCatalog {
     let lookups: Lookups | undefined;
     return {
--- a/src/observe/counters.ts
+++ b/src/observe/counters.ts
@@ -1,6 +1,7 @@
+/** Named counters of a process. */
 import * as hotShots from "hot-shots";
 
-/** Counters that an operator can read from the instance and that also go to a StatsD server when one is set. */
+/** Counters that an operator can read from the instance; also sent to a StatsD server if one is configured. */
 export interface Counters {
     increment(name: string, by?: number): void;
     /** All counters since the start of the process, sorted by name. */
@@ -9,11 +10,12 @@
 }
 
 interface CounterOptions {
-    /** `host:port` of the StatsD server; without it nothing is sent. */
+    /** `host:port` of the StatsD server; if absent, nothing is sent. */
     readonly statsd?: string;
     readonly instance: string;
 }
 
+/** Creates counters that start at 0. */
 export function createCounters(options: CounterOptions): Counters {
     const values = new Map<string, number>();
     const client = options.statsd ? createClient(options.statsd, options.instance) : undefined;
@@ -35,7 +37,7 @@
         prefix: "plantainchute.",
         globalTags: { instance },
         maxBufferSize: 1400,
-        // A metrics server that is down must not disturb the instance, so its errors are dropped.
+        // A metrics server that is down must not disturb the instance, so its errors are ignored.
         errorHandler: () => undefined,
     });
 }
--- a/src/observe/histograms.ts
+++ b/src/observe/histograms.ts
@@ -1,5 +1,7 @@
+/** Latency histograms by client account and job class. */
 import * as hdr from "hdr-histogram-js";
 
+/** Percentiles of the completion times of one client account and job class. */
 export interface HistogramSummary {
     readonly account: string;
     readonly jobClass: string;
@@ -10,7 +12,7 @@
     readonly maxMs: number;
 }
 
-/** Completion times by client account and class. */
+/** Completion times of jobs by client account and job class, in milliseconds. */
 export interface Histograms {
     record(account: string, jobClass: string, ms: number): void;
     getSummaries(): HistogramSummary[];
--- a/src/observe/index.ts
+++ b/src/observe/index.ts
@@ -1,4 +1,4 @@
-/** Counters, latency histograms and the log of state changes. */
+/** Counters, latency histograms, the log of state changes, and the metrics of an instance. */
 export { type Counters, createCounters } from "./counters";
 export { createHistograms, type Histograms, type HistogramSummary } from "./histograms";
 export { createLog, type Log } from "./log";
--- a/src/observe/log.ts
+++ b/src/observe/log.ts
@@ -1,12 +1,14 @@
+/** Structured log on standard error. */
 import * as consola from "consola";
 
-/** Lines for changes of state only; anything that happens for each request is a counter. */
+/** Log of state changes. Whatever happens for each request is counted instead. */
 export interface Log {
     info(event: string, fields?: Readonly<Record<string, unknown>>): void;
     warn(event: string, fields?: Readonly<Record<string, unknown>>): void;
     error(event: string, fields?: Readonly<Record<string, unknown>>): void;
 }
 
+/** Options of the log: the instance named in each line, and the lowest level that is written. */
 export interface LogOptions {
     readonly instance: string;
     readonly level: "silent" | "error" | "warn" | "info";
@@ -14,7 +16,7 @@
 
 const CONSOLA_LEVELS = { silent: -999, error: 0, warn: 1, info: 3 } as const;
 
-/** Writes one JSON object a line to standard error. */
+/** Creates a log that writes one JSON object per line to standard error. */
 export function createLog(options: LogOptions): Log {
     const logger = consola.create({
         level: CONSOLA_LEVELS[options.level],
--- a/src/observe/meter.ts
+++ b/src/observe/meter.ts
@@ -1,5 +1,6 @@
-/** What an instance counts and measures, and the port through which it does. */
+/** The metrics of an instance, and the port through which they are recorded. */
 
+/** Kind, label names and help text of a metric. */
 export interface MetricSpec {
     readonly kind: "counter" | "gauge" | "histogram";
     readonly labels: readonly string[];
@@ -19,72 +20,81 @@
 }
 
 /**
- * All metrics, by the name that they are served under after "plantainchute_". Counters end in `total`, times are in
- * milliseconds. Those marked "leader" are zero or absent on other instances.
+ * All metrics by name, without the prefix "plantainchute_". Names of counters end in `total`, durations are in
+ * milliseconds. Metrics marked "leader" are zero or absent on other instances.
  */
 export const METRICS = {
     requests_total: counter("callers' requests", "call", "outcome", "account", "queue"),
-    request_duration_ms: histogram("from a request to its answer", "call", "account"),
-    requests_passed_total: counter("requests passed on to another instance, by its status", "outcome"),
-    ready: gauge("1 while the instance takes callers' connections"),
+    request_duration_ms: histogram("time from a request to its reply", "call", "account"),
+    requests_passed_total: counter(
+        "requests forwarded to another instance, by status of the reply or kind of failure",
+        "outcome",
+    ),
+    ready: gauge("1 while the instance accepts callers' connections"),
     configuration_version: gauge("version of the configuration in force"),
-    configuration_fresh: gauge("1 while callers may be served under the configuration in force"),
-    store_reachable: gauge("1 while the store answers"),
+    configuration_fresh: gauge("1 while the configuration in force is recent enough to serve callers"),
+    store_reachable: gauge("1 while the store is reachable"),
     store_calls_total: counter("calls to the store", "call", "outcome"),
-    table_reads_total: counter("reads of a followed table, whole or failed", "table", "outcome"),
-    table_read_duration_ms: histogram("reads of a followed table that came whole, with the wait for a change", "table"),
-    table_age_ms: gauge("time since the moment as of which a followed table is known for certain", "table"),
+    table_reads_total: counter("complete or failed reads of a followed table", "table", "outcome"),
+    table_read_duration_ms: histogram("complete reads of a followed table, waits for changes included", "table"),
+    table_age_ms: gauge("time since a followed table was certainly current", "table"),
     leading: gauge("1 while the instance leads"),
-    terms_total: counter("terms as leader begun"),
-    takeover_duration_ms: histogram("leader: from the lease to the first pass"),
-    pass_duration_ms: histogram("leader: one pass of the decisions"),
-    jobs: gauge("leader: jobs that are not over", "account", "queue", "state"),
-    tasks: gauge("leader: tasks of such jobs", "queue", "phase"),
+    terms_total: counter("terms as leader that have begun"),
+    takeover_duration_ms: histogram("leader: time from winning the lease to the first scheduling pass"),
+    pass_duration_ms: histogram("leader: duration of a scheduling pass"),
+    jobs: gauge("leader: jobs that have not ended", "account", "queue", "state"),
+    tasks: gauge("leader: tasks of jobs that have not ended", "queue", "phase"),
     workers: gauge("leader: workers", "service", "state"),
-    accelerators: gauge("leader: accelerators of workers that may take tasks", "service", "state"),
-    placement_wait_ms: histogram("leader: from when a unit could start to its place", "queue"),
-    start_orders_total: counter("leader: orders to start", "answer"),
-    stop_orders_total: counter("leader: orders to stop", "answer"),
-    pace_orders_total: counter("leader: orders on the pace of fillers", "answer"),
+    accelerators: gauge("leader: accelerators of workers that accept tasks", "service", "state"),
+    placement_wait_ms: histogram("leader: time from when a unit could start to its placement", "queue"),
+    start_orders_total: counter("leader: start commands sent to workers", "answer"),
+    stop_orders_total: counter("leader: stop commands sent to workers", "answer"),
+    pace_orders_total: counter("leader: commands that set the pace of best-effort tasks", "answer"),
     runs_ended_total: counter("leader: runs that ended", "queue", "how"),
-    runs_lost_total: counter("leader: runs that were lost with their worker", "queue", "reason"),
-    preemptions_total: counter("leader: units stopped for urgent work", "queue"),
-    preempted_core_seconds_total: counter("leader: work that preemption threw away", "queue"),
+    runs_lost_total: counter("leader: runs lost with their worker", "queue", "reason"),
+    preemptions_total: counter("leader: units preempted for urgent work", "queue"),
+    preempted_core_seconds_total: counter("leader: work lost to preemption", "queue"),
     thrown_away_core_seconds_total: counter(
-        "leader: work that was neither done nor saved, by what it was lost to",
+        "leader: work neither completed nor saved, by cause of its loss",
         "queue",
         "cause",
     ),
-    jobs_ended_total: counter("leader: jobs that came to their end", "account", "queue", "state"),
-    job_duration_ms: histogram("leader: from acceptance to the end", "account", "queue"),
+    jobs_ended_total: counter("leader: jobs that ended", "account", "queue", "state"),
+    job_duration_ms: histogram("leader: time from acceptance to the end of a job", "account", "queue"),
     progress_writes_total: counter("leader: transactions that store progress", "outcome"),
-    entries_unusable_total: counter("what others wrote that could not be used, and was left out", "kind"),
-    log_lines_total: counter("lines written to standard output", "level"),
-    log_lines_dropped_total: counter("lines beyond the budget, or without a reader", "level"),
+    entries_unusable_total: counter("entries of other processes that were invalid and ignored", "kind"),
+    log_lines_total: counter("log lines written to standard output", "level"),
+    log_lines_dropped_total: counter("log lines dropped by the rate limit or for lack of a reader", "level"),
 } satisfies Readonly<Record<string, MetricSpec>>;
 
+/** Name of a metric, without the prefix. */
 export type MetricName = keyof typeof METRICS;
 type NameOf<Kind extends MetricSpec["kind"]> = {
     [Name in MetricName]: (typeof METRICS)[Name] extends { readonly kind: Kind; } ? Name : never;
 }[MetricName];
 
+/** Name of a counter. */
 export type CounterName = NameOf<"counter">;
+/** Name of a gauge. */
 export type GaugeName = NameOf<"gauge">;
+/** Name of a histogram. */
 export type HistogramName = NameOf<"histogram">;
 
-/** Values by label. */
+/** Label values by label name. */
 export type Labels = Readonly<Record<string, string>>;
 
+/** One value of a gauge. */
 export interface GaugeSample {
     readonly metric: GaugeName;
     readonly labels?: Labels;
     readonly value: number;
 }
 
+/** Port through which metrics are recorded. */
 export interface Meter {
     increment(metric: CounterName, labels?: Labels, by?: number): void;
-    /** Takes a time into a histogram. */
+    /** Records a duration in a histogram. */
     record(metric: HistogramName, labels: Labels, ms: number): void;
-    /** `read` is called whenever the metrics are asked for; returns what ends that. */
+    /** Registers a source of gauges that is called on each scrape. Returns a function that unregisters it. */
     registerGauges(read: () => readonly GaugeSample[]): () => void;
 }
--- a/src/telemetry/__tests__/telemetry.test.ts
+++ b/src/telemetry/__tests__/telemetry.test.ts
@@ -35,7 +35,7 @@
         });
     });
 
-    test("a storm of lines is cut to the budget, and the count of what was dropped follows", async () => {
+    test("a burst of lines is cut at the limit, and the next line tells how many were dropped", async () => {
         const { time, written, log } = open(() => 0);
         for (let line = 0; line < 5_000; line++) {
             log.info("line");
@@ -46,9 +46,9 @@
         expect(JSON.parse(written.at(-1)!)).toMatchObject({ event: "after", droppedBefore: 3_800 });
     });
 
-    test("a reader that does not read costs lines, not memory", () => {
-        // Symptom: an instance grows until it is killed. Sequence: whoever reads its output stalls. Cause: lines are
-        // kept until they can be written.
+    test("lines are dropped, not buffered, while the reader stalls", () => {
+        // Guards against an instance that grows until it is killed: the reader of its output stalls, and lines are kept
+        // until they can be written.
         let waiting = 2 << 20;
         const { written, log } = open(() => waiting);
         log.info("lost");
@@ -59,7 +59,7 @@
 });
 
 describe("metrics", () => {
-    test("counters, gauges and histograms as text", () => {
+    test("counters, gauges and histograms are rendered as text", () => {
         const { meter, render } = telemetry.createMetrics();
         const labels = { call: "submit", outcome: "accepted", account: "al\"pha", queue: "q" };
         meter.increment("requests_total", labels, 2);
--- a/src/telemetry/lineLog.ts
+++ b/src/telemetry/lineLog.ts
@@ -1,36 +1,38 @@
 /**
- * Structured lines to standard output, bounded in volume and never blocking.
+ * Structured log lines, rate-limited and never blocking.
  *
- * What goes wrong without the bounds: whoever reads the output stalls, the pipe fills, and a blocking write stops the
- * instance; or the buffer grows until the instance runs out of memory. Lines beyond the budget are counted, and the
- * count is written as soon as there is room.
+ * If the reader of the output stalls, the pipe fills. Without limits a blocking write would then stop the instance, or
+ * the buffer would grow until it runs out of memory. Lines over the limit are dropped, and the next line that is
+ * written tells how many.
  */
 import type * as clock from "../clock/index";
 import type * as observe from "../observe/index";
 
+/** Options of the log. */
 export interface LineLogOptions {
     readonly clock: clock.Clock;
     readonly instance: string;
     readonly meter: observe.Meter;
-    /** Where lines go; `writableLength` says how much waits there. */
+    /** Stream that receives the lines; `writableLength` is the length of the text buffered there. */
     readonly output: { write(text: string): boolean; readonly writableLength: number; };
 }
 
-/** Room for the leader of some hundred workers on a calm day; on a heavy one it leaves single runs out. */
+/** Enough for a leader of some hundred workers at normal load; at peak load lines about single runs are dropped. */
 const LINES_PER_SECOND = 400;
-const BURST_LINES = 1_200;
-/** Text that waits for a reader; beyond it lines are dropped. */
-const MAX_WAITING_BYTES = 1 << 20;
+const MAX_BURST_LINES = 1_200;
+/** Maximum text buffered for the reader; lines beyond it are dropped. */
+const MAX_BUFFERED_BYTES = 1 << 20;
 
+/** Creates a log that writes one JSON object per line to `output`. */
 export function createLineLog(options: LineLogOptions): observe.Log {
-    let budget = BURST_LINES;
+    let budget = MAX_BURST_LINES;
     let refilledAt = options.clock.now();
     let dropped = 0;
     const write = (level: string, event: string, fields: Readonly<Record<string, unknown>> | undefined) => {
         const now = options.clock.now();
-        budget = Math.min(BURST_LINES, budget + (now - refilledAt) * LINES_PER_SECOND / 1_000);
+        budget = Math.min(MAX_BURST_LINES, budget + (now - refilledAt) * LINES_PER_SECOND / 1_000);
         refilledAt = now;
-        if (budget < 1 || options.output.writableLength > MAX_WAITING_BYTES) {
+        if (budget < 1 || options.output.writableLength > MAX_BUFFERED_BYTES) {
             dropped++;
             options.meter.increment("log_lines_dropped_total", { level });
             return;
--- a/src/telemetry/metrics.ts
+++ b/src/telemetry/metrics.ts
@@ -1,18 +1,19 @@
 /**
- * Counters, gauges and histograms, served as text on the instance's metrics address.
+ * Counters, gauges and histograms, rendered as text for the instance's metrics endpoint.
  *
- * The histograms are fixed buckets rather than the library that the benchmarks use: loading that takes 65 ms of
- * processor time and 13 MB, which a restarted instance of two thirds of a core pays before it is ready.
+ * The histograms have fixed buckets instead of using the library of the benchmarks, which takes 65 ms of CPU time and
+ * 13 MB to load. That would delay the readiness of a restarted instance with two thirds of a core.
  */
 import * as observe from "../observe/index";
 
+/** The metrics of an instance. */
 export interface Metrics {
     readonly meter: observe.Meter;
-    /** In the text format that metrics servers scrape. */
+    /** Renders all metrics in the Prometheus text format. */
     render(): string;
 }
 
-/** Upper bounds in milliseconds: from a call within the zone to a job that waits for minutes. */
+/** Upper bounds of the histogram buckets, from a call within the zone to a job that waits for minutes. */
 const BUCKETS_MS = [1, 2, 5, 10, 20, 50, 100, 200, 500, 1_000, 2_000, 5_000, 10_000, 30_000, 120_000, Infinity];
 
 interface Histogram {
@@ -26,10 +27,11 @@
     value: number;
 }
 
+/** Creates metrics that have no values yet. */
 export function createMetrics(): Metrics {
     const counters = new Map<observe.MetricName, Map<string, Counter>>();
     const histograms = new Map<observe.MetricName, Map<string, Histogram>>();
-    const gauges = new Set<() => readonly observe.GaugeSample[]>();
+    const gaugeSources = new Set<() => readonly observe.GaugeSample[]>();
     const meter: observe.Meter = {
         increment: (metric, labels = {}, by = 1) => {
             getOrCreate(counters, metric, labels, () => ({ labels, value: 0 })).value += by;
@@ -45,12 +47,12 @@
             histogram.sumMs += ms;
         },
         registerGauges: read => {
-            gauges.add(read);
-            return () => void gauges.delete(read);
+            gaugeSources.add(read);
+            return () => void gaugeSources.delete(read);
         },
     };
     const render = () => {
-        const samples = [...gauges].flatMap(read => read());
+        const samples = [...gaugeSources].flatMap(read => read());
         const lines: string[] = [];
         for (const [name, spec] of listSpecs()) {
             lines.push(`# HELP ${PREFIX}${name} ${spec.help}`, `# TYPE ${PREFIX}${name} ${spec.kind}`);
@@ -76,21 +78,21 @@
 }
 
 function getOrCreate<T>(
-    all: Map<observe.MetricName, Map<string, T>>,
+    itemsByMetric: Map<observe.MetricName, Map<string, T>>,
     metric: observe.MetricName,
     labels: observe.Labels,
     create: () => T,
 ): T {
-    let ofMetric = all.get(metric);
-    if (!ofMetric) {
-        ofMetric = new Map();
-        all.set(metric, ofMetric);
+    let byLabels = itemsByMetric.get(metric);
+    if (!byLabels) {
+        byLabels = new Map();
+        itemsByMetric.set(metric, byLabels);
     }
     const key = Object.values(labels).join("\n");
-    let item = ofMetric.get(key);
+    let item = byLabels.get(key);
     if (!item) {
         item = create();
-        ofMetric.set(key, item);
+        byLabels.set(key, item);
     }
     return item;
 }
