--- a/src/calls/__tests__/callTimeout.test.ts
+++ b/src/calls/__tests__/callTimeout.test.ts
@@ -48,29 +48,26 @@
     beforeEach(() => void jest.useFakeTimers());
     afterEach(() => void jest.useRealTimers());
 
-    test.each(cases)(
-        "bounds $name",
-        ({ timeouts: given, partIntervalMs: heardEveryMs, lastPartMs: lastHeardMs, expectedMs: overMs }) => {
-            const overs: number[] = [];
-            const wait = callTimeout.startCallTimer(given, afterMs => overs.push(afterMs));
-            for (let now = STEP_MS; now < overMs; now += STEP_MS) {
-                jest.advanceTimersByTime(STEP_MS);
-                if (now % heardEveryMs === 0 && now <= lastHeardMs) {
-                    wait.refresh();
-                }
-                expect(overs).toEqual([]);
+    test.each(cases)("bounds $name", ({ timeouts, partIntervalMs, lastPartMs, expectedMs }) => {
+        const timeoutsAfterMs: number[] = [];
+        const timer = callTimeout.startCallTimer(timeouts, afterMs => timeoutsAfterMs.push(afterMs));
+        for (let now = STEP_MS; now < expectedMs; now += STEP_MS) {
+            jest.advanceTimersByTime(STEP_MS);
+            if (now % partIntervalMs === 0 && now <= lastPartMs) {
+                timer.refresh();
             }
-            // One step more for the turn of the event loop in which pending input is read first.
-            jest.advanceTimersByTime(2 * STEP_MS);
-            expect(overs).toHaveLength(1);
-            expect(overs[0]).toBeGreaterThanOrEqual(overMs);
-        },
-    );
+            expect(timeoutsAfterMs).toEqual([]);
+        }
+        // One step more for the turn of the event loop in which pending input is read first.
+        jest.advanceTimersByTime(2 * STEP_MS);
+        expect(timeoutsAfterMs).toHaveLength(1);
+        expect(timeoutsAfterMs[0]).toBeGreaterThanOrEqual(expectedMs);
+    });
 
     test("does not fire after the end of the call", () => {
-        const overs: number[] = [];
-        callTimeout.startCallTimer({ timeoutMs: 100 }, afterMs => overs.push(afterMs)).stop();
+        const timeoutsAfterMs: number[] = [];
+        callTimeout.startCallTimer({ timeoutMs: 100 }, afterMs => timeoutsAfterMs.push(afterMs)).stop();
         jest.advanceTimersByTime(1_000);
-        expect(overs).toEqual([]);
+        expect(timeoutsAfterMs).toEqual([]);
     });
 });
--- a/src/rows/__tests__/followTable.test.ts
+++ b/src/rows/__tests__/followTable.test.ts
@@ -211,16 +211,16 @@
         expect(opened.renderMetrics()).not.toContain("table_age_ms{");
     });
 
-    test.each(cases)("$name", async ({ decide, losesHistory: forgets, changedAt, knownBy: knownUntil }) => {
+    test.each(cases)("$name", async ({ decide, losesHistory, changedAt, knownBy }) => {
         const opened = open(decide ?? (() => "none"));
         opened.store.put({ table: TABLE, part: "", key: "config", value: "1" });
         await opened.time.advance(changedAt);
         expect(opened.known.get("config")?.value).toBe("1");
         opened.store.put({ table: TABLE, part: "", key: "config", value: "2" });
-        if (forgets) {
+        if (losesHistory) {
             opened.store.discardHistory();
         }
-        await opened.time.advance(knownUntil - changedAt);
+        await opened.time.advance(knownBy - changedAt);
         expect(opened.known.get("config")).toEqual({ value: "2", at: expect.any(Number) });
         opened.stop();
     });
--- a/src/scheduler/__tests__/advice.test.ts
+++ b/src/scheduler/__tests__/advice.test.ts
@@ -41,7 +41,7 @@
 ];
 
 describe("advice", () => {
-    test.each(cases)("$name", async ({ workers, members, mayRun: isGood, endsWithinMs, fails }) => {
+    test.each(cases)("$name", async ({ workers, members, mayRun, endsWithinMs, fails }) => {
         const job = fixtures.createJob(1, { count: members, gang: members > 1, needs: WHOLE_MEMORY }, {
             fails: (_task, run) => fails?.(run) ?? false,
         });
@@ -51,7 +51,7 @@
                 name === step
                     ? {
                         kind: "advised",
-                        suitable: workerNames.filter(isGood).map(workerName => ({
+                        suitable: workerNames.filter(mayRun).map(workerName => ({
                             workerName,
                             ticket: `t-${workerName}`,
                         })),
@@ -63,7 +63,7 @@
         await site.clock.advance(endsWithinMs);
         const state = await fixtures.advanceUntilSettled(site.clock, site.getState(job.jobId, 1));
         expect(state).toEqual({ kind: "state", state: "completed" });
-        expect(fixtures.getStarts(site, job).filter(start => !isGood(start.workerId))).toEqual([]);
+        expect(fixtures.getStarts(site, job).filter(start => !mayRun(start.workerId))).toEqual([]);
         site.close();
     });
 });
--- a/src/scheduler/__tests__/crashAttribution.test.ts
+++ b/src/scheduler/__tests__/crashAttribution.test.ts
@@ -107,7 +107,7 @@
 // Guards against starts beyond the crash limit of a task, and against a sound job that is failed because a lost run
 // that need not be a crash was counted as one.
 describe("of runs lost without a confirmed cause", () => {
-    test.each(cases)("$name", async ({ job, workers, decide, onRunStart: onStart, runMs, state }) => {
+    test.each(cases)("$name", async ({ job, workers, decide, onRunStart, runMs, state }) => {
         const calls = new Map<string, number>();
         const cut = new Set<string>();
         const site: fixtures.TestSite = fixtures.openSite({
@@ -127,7 +127,7 @@
         for (const endAt = site.clock.now() + runMs; site.clock.now() < endAt;) {
             await site.clock.advance(STEP_MS);
             for (const start of site.workers.starts.slice(begun)) {
-                onStart?.({ site, cut }, ++begun, start.workerId);
+                onRunStart?.({ site, cut }, ++begun, start.workerId);
             }
         }
         const reply = await fixtures.advanceUntilSettled(site.clock, site.getState(job.jobId, site.getLeader() ?? 1));
--- a/src/scheduler/scheduler.ts
+++ b/src/scheduler/scheduler.ts
@@ -82,7 +82,7 @@
 /** Creates an instance, which runs until `signal` is aborted. */
 export function createScheduler(options: SchedulerOptions): Scheduler {
     const { clock: time, log, meter } = options;
-    const { disabledMechanisms: disabledMechanisms } = options.policy;
+    const { disabledMechanisms } = options.policy;
     const catalog = catalogs.createCurrentCatalog();
     const health = rows.createStoreHealth({
         store: rows.createInstrumentedStore(options.store, meter),
