--- a/src/scheduler/__tests__/endsAfterLeaseExpiry.test.ts
+++ b/src/scheduler/__tests__/endsAfterLeaseExpiry.test.ts
@@ -3,11 +3,11 @@
 const WORKER = "worker-0";
 const CUT_AT_MS = 3_000;
 
-// Guards against work that is done once more, and a next step that waits for it.
-describe("a task that ends well on a worker that is cut off", () => {
+// Guards against completed work that is repeated, and a next step that waits for it.
+describe("a task that completes on a worker that is cut off", () => {
     test.each([
-        { name: "is done where the lease ran out before the end was heard of", cutForMs: 7_500 },
-        { name: "is done where the lease outlives the cut", cutForMs: 3_500 },
+        { name: "counts as completed if its lease expired before its end was reported", cutForMs: 7_500 },
+        { name: "counts as completed if its lease outlives the cut", cutForMs: 3_500 },
     ])("$name", async ({ cutForMs }) => {
         const short = fixtures.createJob(1, { estimateMs: 2_500 });
         const long = fixtures.createJob(2, { estimateMs: 20_000 });
@@ -31,7 +31,7 @@
     test.each([
         { name: "alone", fields: {} },
         { name: "in a gang", fields: { gang: true, count: 2 } },
-    ])("$name is done although it was started again elsewhere, and its next step begins", async ({ fields }) => {
+    ])("$name counts as completed although restarted elsewhere, and its next step begins", async ({ fields }) => {
         const step = fixtures.createStep({ estimateMs: 2_500, ...fields });
         const job = fixtures.createJob(1, {}, {
             spec: {
