--- a/src/leader/crashAttribution.ts
+++ b/src/leader/crashAttribution.ts
@@ -38,6 +38,7 @@
     readonly runLosses: ReadonlyMap<lostRuns.LostRun, crashHistory.RunLoss>;
 }
 
+/** What the attribution needs from the term. */
 export interface CrashAttributionOptions {
     readonly clock: clock.Clock;
     getWorkers(): Iterable<entries.WorkerEntry>;
@@ -50,6 +51,7 @@
     onReviewed(task: entries.TaskEntry, hasChanged: boolean): void;
 }
 
+/** Attributes losses, and again when more is known of the workers. */
 export interface CrashAttribution {
     /** Attributes the loss of the worker; returns the losses of those tasks whose runs may have crashed it. */
     attributeLoss(
--- a/src/leader/failingWorkers.ts
+++ b/src/leader/failingWorkers.ts
@@ -23,6 +23,7 @@
 const QUARANTINE_FAILURES = 2;
 const QUARANTINE_MS = 5_000;
 
+/** What the detection needs; `now` is monotonic time in milliseconds. */
 export interface FailingWorkerOptions {
     readonly now: number;
     readonly disabledMechanisms: ReadonlySet<decisions.Mechanism>;
--- a/src/leader/knownServices.ts
+++ b/src/leader/knownServices.ts
@@ -8,6 +8,7 @@
 import type * as observe from "../observe/index";
 import type * as entries from "./entries";
 
+/** What the filter needs from the term. */
 export interface KnownServicesOptions {
     readonly catalog: Pick<catalogs.CurrentCatalog, "get">;
     readonly log: observe.Log;
--- a/src/leader/lostRuns.ts
+++ b/src/leader/lostRuns.ts
@@ -25,6 +25,7 @@
     readonly isProven: boolean;
 }
 
+/** What is known of the loss whose runs are listed. */
 export interface ListOptions {
     /** When another incarnation of the worker was first known; `undefined` if there is none. */
     readonly successorSeenAt?: number;
--- a/src/leader/orders.ts
+++ b/src/leader/orders.ts
@@ -10,6 +10,7 @@
 import type * as port from "./workerPort";
 import type * as workerSession from "./workerSession";
 
+/** What the orders need from the term; the signal ends with the term. */
 export interface OrdersOptions {
     readonly jobRegistry: jobRegistry.JobRegistry;
     readonly clock: clock.Clock;
@@ -29,6 +30,7 @@
     readonly run: number;
 }
 
+/** Sends orders; no call waits for the outcome. */
 export interface Orders {
     /** Starts tasks whose rows are stored. */
     start(placed: readonly PlacedTask[]): void;
--- a/src/leader/outcomes.ts
+++ b/src/leader/outcomes.ts
@@ -14,6 +14,7 @@
     readonly criticalPathMs: number;
 }
 
+/** What the outcomes need from the job registry. */
 export interface OutcomesOptions {
     readonly clock: clock.Clock;
     readonly log: observe.Log;
@@ -31,6 +32,7 @@
     stopOccurrence(occurrence: entries.OccurrenceEntry, reason: string): void;
 }
 
+/** Changes of tasks, steps, occurrences and jobs on the way to their end. */
 export interface Outcomes {
     /** Ends the job in the given state. */
     endJob(job: entries.JobEntry, state: work.JobState): void;
--- a/src/leader/reachabilityCheck.ts
+++ b/src/leader/reachabilityCheck.ts
@@ -15,6 +15,7 @@
 /** Quarantine of a worker that was overloaded or unreachable. */
 export const UNREACHABLE_QUARANTINE_MS = 1_500;
 
+/** What the check needs from the term; the signal ends with the term. */
 export interface ReachabilityCheckOptions {
     readonly clock: clock.Clock;
     readonly log: observe.Log;
@@ -24,11 +25,13 @@
     onChanged(): void;
 }
 
+/** Decides whether workers have answered recently enough, and polls the others. */
 export interface ReachabilityCheck {
     /** Whether the tasks may be placed on these workers now; if not, polls the workers without a recent answer. */
     mayPlace(tasks: readonly entries.TaskEntry[], workers: readonly entries.WorkerEntry[]): boolean;
 }
 
+/** Creates the check for one term. */
 export function createReachabilityCheck(options: ReachabilityCheckOptions): ReachabilityCheck {
     const { clock: time, log } = options;
     const polling = new Set<entries.WorkerEntry>();
--- a/src/leader/reconcile.ts
+++ b/src/leader/reconcile.ts
@@ -6,6 +6,7 @@
 import type * as port from "./workerPort";
 import type * as workerSession from "./workerSession";
 
+/** What the reconciliation needs from the term. */
 export interface ReconcileOptions {
     readonly jobRegistry: jobRegistry.JobRegistry;
     readonly clock: clock.Clock;
--- a/src/leader/slowWorkers.ts
+++ b/src/leader/slowWorkers.ts
@@ -10,6 +10,7 @@
 /** Quarantine of a slow worker, counted from the last time it was found slow. */
 const SLOW_QUARANTINE_MS = 2_000;
 
+/** What the detection needs; `now` is monotonic time in milliseconds. */
 export interface SlowWorkerOptions {
     readonly now: number;
     readonly jobRegistry: jobRegistry.JobRegistry;
--- a/src/leader/workerLosses.ts
+++ b/src/leader/workerLosses.ts
@@ -6,6 +6,7 @@
 import * as entries from "./entries";
 import type * as workerSession from "./workerSession";
 
+/** What the handling of losses needs from the job registry. */
 export interface WorkerLossesOptions {
     readonly clock: clock.Clock;
     readonly log: observe.Log;
@@ -38,6 +39,7 @@
     readonly pollResult: workerSession.PollResult | undefined;
 }
 
+/** Handles lost workers and the crash limit of tasks. */
 export interface WorkerLosses {
     /** Handles all tasks of a lost worker. */
     loseTasksOf(worker: entries.WorkerEntry, reason: LossReason, next?: NextIncarnation): void;
--- a/src/leader/workerRegistry.ts
+++ b/src/leader/workerRegistry.ts
@@ -13,6 +13,7 @@
 import * as taskWatchdog from "./taskWatchdog";
 import type * as workerSession from "./workerSession";
 
+/** What the registry needs from the term. */
 export interface WorkerRegistryOptions {
     readonly clock: clock.Clock;
     readonly log: observe.Log;
@@ -28,6 +29,7 @@
     onChanged(): void;
 }
 
+/** Holds the workers and their sessions. */
 export interface WorkerRegistry {
     /** All known incarnations by id. */
     readonly workers: ReadonlyMap<string, entries.WorkerEntry>;
--- a/src/leader/workerSession.ts
+++ b/src/leader/workerSession.ts
@@ -23,6 +23,7 @@
     readonly isEndListComplete: boolean;
 }
 
+/** What the session needs, and the callbacks that it reports to. */
 export interface WorkerSessionOptions {
     readonly worker: port.WorkerAddress;
     /** The incarnation of the session; all state of the session holds for it alone. */
@@ -44,7 +45,7 @@
     onLost(reason: "otherLife" | "lapsed"): void;
     /** The worker's next incarnation has answered, so this one has ended. */
     onNextIncarnation(next: incarnations.Incarnation, pollResult: PollResult): void;
-    /** Called after each poll of the loop or on demand; `isReachable` tells whether the worker has answered. */
+    /** Called after each answered poll, and after each unanswered poll of the session's loop. */
     onReachability(isReachable: boolean): void;
     /** A poll has failed before its timeout: its connection broke or was refused. */
     onDisconnected(): void;
@@ -52,6 +53,7 @@
     onFenced(): void;
 }
 
+/** Sends orders and polls to one incarnation. */
 export interface WorkerSession {
     /** Whether the worker has answered within the last `maxSilenceMs`. */
     hasAnsweredWithin(maxSilenceMs: number): boolean;
