--- a/src/leader/workerRegistry.ts
+++ b/src/leader/workerRegistry.ts
@@ -145,7 +145,7 @@
             remove(worker);
         }
         else if (!sessions.has(worker.id)) {
-            // It was not listed since the takeover, so its address is unknown and only its leases can expire.
+            // It has not been listed since the takeover, so its address is unknown and only its leases can expire.
             const { leadership, maxLeaseMs } = options;
             taskWatchdog.markLostAfterExpiry(worker, { clock: time, leadership, maxLeaseMs, jobRegistry: jobs });
         }
