--- a/src/decisions/stopCost.ts
+++ b/src/decisions/stopCost.ts
@@ -1,9 +1,9 @@
 /**
  * The cost of preempting running work, in core-seconds of thrown-away work.
  *
- * Lost work alone does not suffice: work that has just started would be the cheapest victim, so a preempted job would be
- * preempted again as soon as it restarts and large jobs would never end. Also, jobs would be made late although others
- * have slack.
+ * Thrown-away work alone does not suffice: work that has just started would be the cheapest victim, so a preempted job
+ * would be preempted again as soon as it restarts and large jobs would never end. Also, jobs would be made late although
+ * others have slack.
  */
 import * as order from "./order";
 import type * as speed from "./speed";
--- a/src/work/tables.ts
+++ b/src/work/tables.ts
@@ -23,7 +23,7 @@
 /**
  * The part of a job's submission and cancellation. The hash covers the whole id, since callers choose their ids.
  *
- * With a single part, a store that is 98 times slower completes two transactions per second in it, so the
+ * With a single part, a store that is 98 times slower than usual completes two transactions per second, so the
  * submissions of a large site queue up and are refused with "too many calls on this part" though the store responds.
  */
 export function getIntakePart(jobId: string): string {
