--- a/src/calls/callServer.ts
+++ b/src/calls/callServer.ts
@@ -49,7 +49,7 @@
     };
 }
 
-/** Reads the body; `undefined` if it exceeds `MAX_BYTES` or the connection fails. */
+/** Reads the body; `undefined` if it exceeds `MAX_BODY_BYTES` or the connection fails. */
 function readText(req: http.IncomingMessage): Promise<string | undefined> {
     return new Promise(resolve => {
         const chunks: Buffer[] = [];
--- a/src/intake/intake.ts
+++ b/src/intake/intake.ts
@@ -75,7 +75,7 @@
 const REPLY_MARGIN_MS = 150;
 /** After this many refusals or failed reads the caller gets a reply, since another instance may serve it. */
 const MAX_REFUSALS = 3;
-/** Longer than a leader's lease; most disturbances are over by then. */
+/** When a refused caller should retry; most disturbances are over by then. */
 const RETRY_AFTER_MS = 1_000;
 /** Published counts older than this are not used; the rows are counted instead. */
 const MAX_COUNTS_AGE_MS = 2_000;
