--- a/src/leader/__tests__/bestEffortPacing.test.ts
+++ b/src/leader/__tests__/bestEffortPacing.test.ts
@@ -11,28 +11,33 @@
     /** Tail latency of the latency-sensitive task on the same worker. */
     readonly tailMs: number;
     /** Pace that is sent to the best-effort task; `undefined` if none is sent. */
-    readonly told: number | undefined;
+    readonly expectedPercent: number | undefined;
 }
 
 const cases: readonly Case[] = [
-    { name: "beyond the target best-effort tasks are paused", pacePercent: 100, tailMs: 120, told: 0 },
-    { name: "near the target their pace is halved", pacePercent: 80, tailMs: 90, told: 40 },
-    { name: "well below the target their pace is raised", pacePercent: 40, tailMs: 30, told: 50 },
-    { name: "in between their pace is unchanged", pacePercent: 40, tailMs: 70, told: undefined },
-    { name: "at full pace no order is sent", pacePercent: 100, tailMs: 30, told: undefined },
+    { name: "beyond the target best-effort tasks are paused", pacePercent: 100, tailMs: 120, expectedPercent: 0 },
+    { name: "near the target their pace is halved", pacePercent: 80, tailMs: 90, expectedPercent: 40 },
+    { name: "well below the target their pace is raised", pacePercent: 40, tailMs: 30, expectedPercent: 50 },
+    { name: "in between their pace is unchanged", pacePercent: 40, tailMs: 70, expectedPercent: undefined },
+    { name: "at full pace no order is sent", pacePercent: 100, tailMs: 30, expectedPercent: undefined },
     // Guards against a best-effort task that stays paused beside an idle latency-sensitive task: a new leader that
     // assumed a pace of 100 percent would have nothing to raise.
-    { name: "a pace that an earlier leader set is sent again", pacePercent: undefined, tailMs: 30, told: 10 },
+    {
+        name: "a pace that an earlier leader set is sent again",
+        pacePercent: undefined,
+        tailMs: 30,
+        expectedPercent: 10,
+    },
     {
         name: "a pace that an earlier leader set is sent again beyond the target",
         pacePercent: undefined,
         tailMs: 120,
-        told: 0,
+        expectedPercent: 0,
     },
 ];
 
 describe("pace of fillers", () => {
-    test.each(cases)("$name", ({ pacePercent, tailMs, told }) => {
+    test.each(cases)("$name", ({ pacePercent, tailMs, expectedPercent }) => {
         const job = fixtures.createJob(1);
         const steps = [
             fixtures.createStep({ lasting: true, targetMs: TARGET_MS }),
@@ -59,6 +64,6 @@
         filling!.pacePercent = pacePercent;
         const orders: Array<readonly [task: string, percent: number]> = [];
         bestEffortPacing.paceBestEffortTasks(worker, (task, percent) => orders.push([task.name, percent]));
-        expect(orders).toEqual(told === undefined ? [] : [[filling!.name, told]]);
+        expect(orders).toEqual(expectedPercent === undefined ? [] : [[filling!.name, expectedPercent]]);
     });
 });
--- a/src/leader/__tests__/handoverCalls.test.ts
+++ b/src/leader/__tests__/handoverCalls.test.ts
@@ -4,7 +4,7 @@
 const OFFER: leader.HandoverOffer = { holder: "a-1", token: 7 };
 const TIMEOUT_MS = 5_000;
 
-async function open(candidacy: leader.Candidacy | undefined) {
+async function openCandidate(candidacy: leader.Candidacy | undefined) {
     const asked: leader.HandoverOffer[] = [];
     const taken: leader.HandoverOffer[] = [];
     const server = calls.createCallServer(leader.createHandoverRoutes({
@@ -37,21 +37,21 @@
         ["that cannot lead", undefined],
     ];
     test.each(answers)("an instance %s answers so", async (_name, candidacy) => {
-        const other = await open(candidacy);
+        const other = await openCandidate(candidacy);
         expect(await other.port.queryCandidate(other.address, OFFER, TIMEOUT_MS)).toEqual(candidacy);
         await other.close();
         expect(other.asked).toEqual([OFFER]);
     });
 
     test("the successor is notified of the term that has ended", async () => {
-        const other = await open({ power: 1 });
+        const other = await openCandidate({ power: 1 });
         await other.port.notifySuccessor(other.address, OFFER, TIMEOUT_MS);
         await other.close();
         expect(other.taken).toEqual([OFFER]);
     });
 
     test("an instance that does not answer cannot lead", async () => {
-        const other = await open({ power: 1 });
+        const other = await openCandidate({ power: 1 });
         await other.close();
         const client = calls.createHttpClient(1);
         const port = leader.createHandoverPort(client, () => []);
@@ -61,7 +61,7 @@
 
     const malformed = ["", "null", "{}", "{\"holder\":\"\",\"token\":1}", "{\"holder\":\"a\",\"token\":\"1\"}"];
     test.each(malformed.map(text => ({ text })))("a malformed offer is refused: $text", async ({ text }) => {
-        const other = await open({ power: 1 });
+        const other = await openCandidate({ power: 1 });
         for (const path of ["/lead/ask", "/lead/take", "/nowhere"]) {
             const outcome = await other.client.call({
                 address: other.address,
--- a/src/leader/__tests__/lease.test.ts
+++ b/src/leader/__tests__/lease.test.ts
@@ -17,7 +17,7 @@
     const controller = new AbortController();
     events.setMaxListeners(0, controller.signal);
     const terms: string[] = [];
-    const goneByWatcher = new Map<string, () => void>();
+    const exitByWatcher = new Map<string, () => void>();
     const open = (name: string) =>
         leases.createLease({
             store: store.open(name),
@@ -28,8 +28,8 @@
             life: `${name}-1`,
             watchAddress: name,
             peerAddress: "",
-            watchHolder: (_address, onGone) => {
-                goneByWatcher.set(name, onGone);
+            watchHolder: (_address, onExit) => {
+                exitByWatcher.set(name, onExit);
                 return { getHeartbeatAgeMs: () => undefined, end: () => {} };
             },
             power: 1,
@@ -38,7 +38,7 @@
             onRenewalOverdue: () => {},
             onElected: () => terms.push(name),
         });
-    return { clock, terms, leases: names.map(open), tellGone: (name: string) => goneByWatcher.get(name)!() };
+    return { clock, terms, leases: names.map(open), reportExit: (name: string) => exitByWatcher.get(name)!() };
 }
 
 describe("an instance that is cut off from the store", () => {
@@ -59,7 +59,7 @@
         await site.clock.advance(CUT_FROM_MS + 100);
         expect(site.terms).toEqual(["first"]);
         if (tellsGone) {
-            site.tellGone("second");
+            site.reportExit("second");
         }
         await site.clock.advance(CUT_UNTIL_MS);
         expect(site.terms).toEqual(["first"]);
--- a/src/leader/__tests__/progressWriter.test.ts
+++ b/src/leader/__tests__/progressWriter.test.ts
@@ -6,7 +6,7 @@
 import * as progressWriter from "../progressWriter";
 
 /** A store whose answers the test gives explicitly, in order. */
-function createHeldStore() {
+function createManualStore() {
     const calls: Array<{ tx: rows.RowTransaction; answer: (result: rows.TransactResult) => void; }> = [];
     const store: rows.RowStore = {
         transact: tx => new Promise(answer => calls.push({ tx, answer })),
@@ -44,15 +44,15 @@
 
 const GUARD = { table: work.Table.LeaderLease, part: work.LEADER_PART, key: "token", version: 7 };
 
-function open() {
+function openWriter() {
     const time = clocks.createManualClock();
-    const held = createHeldStore();
+    const manual = createManualStore();
     const controller = new AbortController();
     const deposed: string[] = [];
     const silent = () => undefined;
     const writer = progressWriter.createProgressWriter({
         meter: telemetry.createMetrics().meter,
-        store: held.store,
+        store: manual.store,
         clock: time,
         log: { info: silent, warn: silent, error: silent },
         leadership: {
@@ -66,7 +66,7 @@
             controller.abort();
         },
     });
-    return { time, calls: held.calls, writer, deposed };
+    return { time, calls: manual.calls, writer, deposed };
 }
 
 describe("progress writer", () => {
@@ -74,7 +74,7 @@
         // Guards against completed tasks that start again after a takeover. An end is recorded while a write is in
         // flight; if the flush resolves with that write, the worker forgets the end before it is stored, and a leader
         // that fails then loses it.
-        const { time, calls, writer } = open();
+        const { time, calls, writer } = openWriter();
         const occurrence = createOccurrence();
         writer.markOccurrence(occurrence);
         await time.advance(0);
@@ -96,7 +96,7 @@
     });
 
     test("a write without an answer is retried with the versions in the store", async () => {
-        const { time, calls, writer, deposed } = open();
+        const { time, calls, writer, deposed } = openWriter();
         const occurrence = createOccurrence();
         writer.markOccurrence(occurrence);
         await time.advance(0);
@@ -114,7 +114,7 @@
     });
 
     test("another leader's token ends the term, and the flush never resolves", async () => {
-        const { time, calls, writer, deposed } = open();
+        const { time, calls, writer, deposed } = openWriter();
         writer.markOccurrence(createOccurrence());
         let stored = false;
         void writer.flush().then(() => {
@@ -131,7 +131,7 @@
     test("rows that exceed the size of one call are written in several, and a flush waits for all", async () => {
         // Guards against a writer that stops storing: a pass starts tasks of many wide steps at once, their rows exceed
         // the size limit of a call, and the same call is refused forever.
-        const { time, calls, writer } = open();
+        const { time, calls, writer } = openWriter();
         const rowBytes = 45_000;
         for (let number = 0; number < 30; number++) {
             writer.markOccurrence(createOccurrence(100, rowBytes / 100, `job-${number}`));
--- a/src/leader/__tests__/renewals.test.ts
+++ b/src/leader/__tests__/renewals.test.ts
@@ -8,7 +8,7 @@
 const COMMITTED: rows.TransactResult = { kind: "committed", version: 5 };
 
 /** A store whose answers the test gives explicitly. */
-function open() {
+function openRenewals() {
     const clock = clocks.createManualClock(0);
     const calls: Array<{
         readonly tx: rows.RowTransaction;
@@ -37,7 +37,7 @@
 
 describe("renewals of a lease", () => {
     test("are combined with a write that is sent when one is due", async () => {
-        const { clock, calls, store, renewals } = open();
+        const { clock, calls, store, renewals } = openRenewals();
         void renewals.transact(store, { puts: [{ ...TOKEN, key: "a", value: "" }] }, 900);
         await clock.advance(500);
         void renewals.transact(store, { puts: [{ ...TOKEN, key: "b", value: "" }] }, 900);
@@ -46,7 +46,7 @@
     });
 
     test("are not combined with a write that has no room for them", async () => {
-        const { clock, calls, store, renewals } = open();
+        const { clock, calls, store, renewals } = openRenewals();
         await clock.advance(500);
         const puts = Array.from({ length: 99 }, (_, number) => ({ ...TOKEN, key: String(number), value: "" }));
         void renewals.transact(store, { puts }, 900);
@@ -57,7 +57,7 @@
     // Guards against a healthy leader that loses its lease at a store that answers after a second: a renewal that is
     // conditional on the version of the previous one must wait for its answer.
     test("are sent while another is in flight, and each counts from when it was sent", async () => {
-        const { clock, calls, store, renewals } = open();
+        const { clock, calls, store, renewals } = openRenewals();
         await clock.advance(500);
         renewals.send(store);
         await clock.advance(500);
@@ -76,7 +76,7 @@
         { name: "for four seconds at most", answersAfterMs: 3_000, leaseMs: 4_000 },
     ];
     test.each(cases)("ask for a lease that lasts $name", async ({ answersAfterMs, leaseMs }) => {
-        const { clock, calls, store, renewals, getLeaseMs } = open();
+        const { clock, calls, store, renewals, getLeaseMs } = openRenewals();
         renewals.send(store);
         await clock.advance(answersAfterMs);
         calls[0]!.answer(COMMITTED);
@@ -86,7 +86,7 @@
     });
 
     test("end no sooner than the previous lease when the store is fast again", async () => {
-        const { clock, calls, store, renewals, getLeaseMs } = open();
+        const { clock, calls, store, renewals, getLeaseMs } = openRenewals();
         renewals.send(store);
         await clock.advance(1_000);
         calls[0]!.answer(COMMITTED);
@@ -103,7 +103,7 @@
     // Guards against a failover that takes twice as long after some answers of the store were lost: a renewal without
     // an answer was taken for a slow store, although later calls were answered at once.
     test("request a lease of normal duration if an answer is lost and later ones come at once", async () => {
-        const { clock, calls, store, renewals, getLeaseMs } = open();
+        const { clock, calls, store, renewals, getLeaseMs } = openRenewals();
         await clock.advance(500);
         renewals.send(store);
         await clock.advance(100);
@@ -119,7 +119,7 @@
         { name: "another leader's token ends the term", version: 2, deposed: 1 },
         { name: "a conflict of other rows does not", version: 1, deposed: 0 },
     ])("$name", async ({ version, deposed }) => {
-        const opened = open();
+        const opened = openRenewals();
         await opened.clock.advance(500);
         void opened.renewals.transact(opened.store, {}, 900);
         opened.calls[0]!.answer({ kind: "conflict", rows: [{ ...TOKEN, value: "", version }] });
--- a/src/liveness/__tests__/liveness.test.ts
+++ b/src/liveness/__tests__/liveness.test.ts
@@ -11,28 +11,28 @@
     test("a process whose connections close and that refuses new ones has exited", async () => {
         const server = liveness.createLivenessServer({ clock, isLeading: () => leading });
         const address = `127.0.0.1:${await server.listen("127.0.0.1:0")}`;
-        const gone = new Promise<void>(resolve => {
+        const exited = new Promise<void>(resolve => {
             liveness.watchProcess({ clock, address, ownAddress: "", onExit: resolve });
         });
         // The watch must be connected before the server closes.
         await new Promise(resolve => setTimeout(resolve, 100));
         server.close();
-        await gone;
+        await exited;
     });
 
     test("a refusal without an earlier connection is no exit: the process may not have started yet", async () => {
-        let told = false;
+        let exited = false;
         const watch = liveness.watchProcess({
             clock,
             address: `127.0.0.1:${CLOSED_PORT}`,
             ownAddress: "",
             onExit: () => {
-                told = true;
+                exited = true;
             },
         });
         await new Promise(resolve => setTimeout(resolve, 700));
         watch.end();
-        expect(told).toBe(false);
+        expect(exited).toBe(false);
     });
 
     test("a process learns the addresses of its watchers", async () => {
