--- a/src/leader/machines.ts
+++ b/src/leader/machines.ts
@@ -43,8 +43,8 @@
 }
 
 /**
- * A rolling maintenance order of an operator: each machine gets its upkeep (maintenance) within `withinMs`, with at most
- * `maxCount` machines down at once.
+ * A rolling maintenance order of an operator: each machine gets its upkeep (maintenance) within `withinMs`, with at
+ * most `maxCount` machines down at once.
  */
 export interface Wave {
     readonly number: number;
