--- a/bench/decisions.ts
+++ b/bench/decisions.ts
@@ -28,12 +28,12 @@
         releasing: { cpuMillis: 0, memoryMb: 0, accelerators: 0 },
         latencySensitiveTasks: 0,
         bestEffortTasks: 0,
-        occupancy: decisions.Company.Idle,
+        occupancy: decisions.Occupancy.Idle,
     }));
     const groups = workers.flatMap(worker =>
         Array.from({ length: RUNNING }, (_, number): decisions.RunningGroup => ({
             key: `${worker.id}-${number}`,
-            tier: decisions.Claim.None,
+            tier: decisions.PreemptionTier.None,
             members: [{ workerId: worker.id, needs: NEEDS }],
             lossCoreSeconds: 10 * source.nextFloat(),
             costCoreSeconds: 10 * source.nextFloat(),
@@ -51,7 +51,7 @@
             gang,
             sameRack: gang,
             maxPerWorker: 0,
-            tier: number % URGENT_EVERY === 0 ? decisions.Claim.Urgent : decisions.Claim.None,
+            tier: number % URGENT_EVERY === 0 ? decisions.PreemptionTier.Urgent : decisions.PreemptionTier.None,
             latencySensitive: false,
             bestEffort: false,
             mayCrashWorker: false,
--- a/src/decisions/__tests__/fixtures.ts
+++ b/src/decisions/__tests__/fixtures.ts
@@ -13,7 +13,7 @@
         releasing: { cpuMillis: 0, memoryMb: 0, accelerators: 0 },
         latencySensitiveTasks: 0,
         bestEffortTasks: 0,
-        occupancy: types.Company.Idle,
+        occupancy: types.Occupancy.Idle,
         ...fields,
     };
 }
@@ -30,7 +30,7 @@
         gang: false,
         sameRack: false,
         maxPerWorker: 0,
-        tier: types.Claim.None,
+        tier: types.PreemptionTier.None,
         latencySensitive: false,
         bestEffort: false,
         mayCrashWorker: false,
@@ -49,7 +49,7 @@
 ): types.RunningGroup {
     return {
         key,
-        tier: types.Claim.None,
+        tier: types.PreemptionTier.None,
         members: [{ workerId, needs: { cpuMillis: 1_000, memoryMb: 1_024, accelerators: 1 } }],
         lossCoreSeconds: 10,
         costCoreSeconds: fields.lossCoreSeconds ?? 10,
--- a/src/decisions/__tests__/indexedPlan.test.ts
+++ b/src/decisions/__tests__/indexedPlan.test.ts
@@ -46,7 +46,7 @@
             releasing: source.nextInt(4) === 0 ? used : { cpuMillis: 0, memoryMb: 0, accelerators: 0 },
             latencySensitiveTasks: source.nextInt(3),
             bestEffortTasks: source.nextInt(3),
-            occupancy: source.pick(Object.values(types.Company)),
+            occupancy: source.pick(Object.values(types.Occupancy)),
         });
         return worker;
     });
@@ -59,7 +59,12 @@
         const size = source.nextInt(5) === 0 ? 1 + source.nextInt(4) : 1;
         groups.push({
             key: `group-${index}`,
-            tier: source.pick([types.Claim.None, types.Claim.None, types.Claim.Urgent, types.Claim.Lasting]),
+            tier: source.pick([
+                types.PreemptionTier.None,
+                types.PreemptionTier.None,
+                types.PreemptionTier.Urgent,
+                types.PreemptionTier.Lasting,
+            ]),
             members: tasks.slice(index, index + size),
             lossCoreSeconds: 0,
             costCoreSeconds: source.nextInt(4) === 0 ? 0 : 1_000 * source.nextFloat(),
@@ -87,7 +92,12 @@
             requiredLabel: source.nextInt(5) === 0 ? source.pick(LABELS) : undefined,
             dataRack: source.nextInt(4) === 0 ? `r${source.nextInt(6)}` : undefined,
             maxPerWorker: source.nextInt(4) === 0 ? 1 + source.nextInt(2) : 0,
-            tier: source.pick([types.Claim.None, types.Claim.Urgent, types.Claim.Lasting, types.Claim.Guaranteed]),
+            tier: source.pick([
+                types.PreemptionTier.None,
+                types.PreemptionTier.Urgent,
+                types.PreemptionTier.Lasting,
+                types.PreemptionTier.Guaranteed,
+            ]),
             latencySensitive: source.nextInt(6) === 0,
             bestEffort: source.nextInt(6) === 0,
             mayCrashWorker: source.nextInt(8) === 0,
--- a/src/decisions/__tests__/plan.test.ts
+++ b/src/decisions/__tests__/plan.test.ts
@@ -125,8 +125,8 @@
             // other gang for the rack of its data, which is full of other guaranteed work.
             name: `a guaranteed gang waits for the rack of its data for at most 1.5 s: ${waitedMs} ms`,
             workers: busy,
-            units: [fixtures.createUnit("g", { ...wide, waitedMs, tier: types.Claim.Guaranteed })],
-            groups: [fixtures.createGroup("other", "r1w1", { tier: types.Claim.Guaranteed })],
+            units: [fixtures.createUnit("g", { ...wide, waitedMs, tier: types.PreemptionTier.Guaranteed })],
+            groups: [fixtures.createGroup("other", "r1w1", { tier: types.PreemptionTier.Guaranteed })],
             starts,
         })),
         {
@@ -135,7 +135,7 @@
                 fixtures.createWorker("r1w1", { used: FULL }),
                 fixtures.createWorker("r2w1", { rack: "r2", used: FULL }),
             ],
-            units: [fixtures.createUnit("g", { ...wide, tier: types.Claim.Urgent })],
+            units: [fixtures.createUnit("g", { ...wide, tier: types.PreemptionTier.Urgent })],
             groups: ([["near", "r1w1", 100], ["far", "r2w1", 1]] as const).map(([key, workerId, lossCoreSeconds]) =>
                 fixtures.createGroup(key, workerId, { lossCoreSeconds, members: [{ workerId, needs: FULL }] })
             ),
@@ -196,7 +196,7 @@
     {
         name: "urgent work preempts the cheapest sufficient victim",
         workers: [fixtures.createWorker("w1", { used: FULL }), fixtures.createWorker("w2", { used: FULL })],
-        units: [fixtures.createUnit("u", { tier: types.Claim.Urgent })],
+        units: [fixtures.createUnit("u", { tier: types.PreemptionTier.Urgent })],
         groups: [
             fixtures.createGroup("costly", "w1", { lossCoreSeconds: 90 }),
             fixtures.createGroup("cheap", "w2", { lossCoreSeconds: 3 }),
@@ -209,7 +209,7 @@
         // first, then one whose worker holds the whole unit, and the first victim is not dropped.
         name: "victims that are not needed once all are chosen keep running",
         workers: [fixtures.createWorker("w1", { used: FULL }), fixtures.createWorker("w2", { used: FULL })],
-        units: [fixtures.createUnit("u", { tier: types.Claim.Urgent, gang: true, count: 8 })],
+        units: [fixtures.createUnit("u", { tier: types.PreemptionTier.Urgent, gang: true, count: 8 })],
         groups: [
             fixtures.createGroup("cheap", "w1", { lossCoreSeconds: 1 }),
             fixtures.createGroup("whole", "w2", {
@@ -226,7 +226,7 @@
             used: FULL,
             releasing: { cpuMillis: 1_000, memoryMb: 1_024, accelerators: 1 },
         })],
-        units: [fixtures.createUnit("u", { tier: types.Claim.Urgent }), fixtures.createUnit("later")],
+        units: [fixtures.createUnit("u", { tier: types.PreemptionTier.Urgent }), fixtures.createUnit("later")],
         groups: [fixtures.createGroup("g", "w1")],
         starts: {},
     },
@@ -235,22 +235,22 @@
         name: "guaranteed work is never preempted, and work without a tier preempts nothing",
         workers: [fixtures.createWorker("w1", { used: FULL })],
         units: [
-            fixtures.createUnit("u", { tier: types.Claim.Guaranteed }),
+            fixtures.createUnit("u", { tier: types.PreemptionTier.Guaranteed }),
             fixtures.createUnit("v"),
         ],
-        groups: [fixtures.createGroup("g", "w1", { tier: types.Claim.Guaranteed })],
+        groups: [fixtures.createGroup("g", "w1", { tier: types.PreemptionTier.Guaranteed })],
         starts: {},
     },
     {
         name: "a lasting task preempts urgent work and is preempted only by guaranteed work",
         workers: [fixtures.createWorker("w1", { used: FULL }), fixtures.createWorker("w2", { used: FULL })],
         units: [
-            fixtures.createUnit("lasting", { tier: types.Claim.Lasting }),
-            fixtures.createUnit("urgent", { tier: types.Claim.Urgent }),
+            fixtures.createUnit("lasting", { tier: types.PreemptionTier.Lasting }),
+            fixtures.createUnit("urgent", { tier: types.PreemptionTier.Urgent }),
         ],
         groups: [
-            fixtures.createGroup("u", "w1", { tier: types.Claim.Urgent }),
-            fixtures.createGroup("l", "w2", { tier: types.Claim.Lasting }),
+            fixtures.createGroup("u", "w1", { tier: types.PreemptionTier.Urgent }),
+            fixtures.createGroup("l", "w2", { tier: types.PreemptionTier.Lasting }),
         ],
         starts: {},
         stops: ["u"],
@@ -261,13 +261,13 @@
         name: "no more tasks of a lasting step are stopped than its disruption budget allows, also for two units",
         workers: ["w1", "w2", "w3"].map(id => fixtures.createWorker(id, { used: FULL })),
         units: [
-            fixtures.createUnit("gang", { tier: types.Claim.Guaranteed, gang: true, count: 2 }),
-            fixtures.createUnit("single", { tier: types.Claim.Guaranteed }),
+            fixtures.createUnit("gang", { tier: types.PreemptionTier.Guaranteed, gang: true, count: 2 }),
+            fixtures.createUnit("single", { tier: types.PreemptionTier.Guaranteed }),
         ],
         groups: [
             ...["l1", "l2"].map((key, index) =>
                 fixtures.createGroup(key, `w${index + 1}`, {
-                    tier: types.Claim.Lasting,
+                    tier: types.PreemptionTier.Lasting,
                     lossCoreSeconds: 1,
                     disruptionBudget: { step: "serves", allowedDisruptions: 1 },
                 })
@@ -293,7 +293,7 @@
         name: "a task that may crash its worker goes to an idle worker, and no other task is started there",
         workers: [
             fixtures.createWorker("settled", {
-                occupancy: types.Company.Stable,
+                occupancy: types.Occupancy.Stable,
                 used: { cpuMillis: 0, memoryMb: 0, accelerators: 6 },
             }),
             fixtures.createWorker("idle"),
@@ -307,8 +307,8 @@
     {
         name: "a task that may crash its worker avoids workers with recent starts",
         workers: [
-            fixtures.createWorker("unsettled", { occupancy: types.Company.RecentStart }),
-            fixtures.createWorker("settled", { occupancy: types.Company.Stable }),
+            fixtures.createWorker("unsettled", { occupancy: types.Occupancy.RecentStart }),
+            fixtures.createWorker("settled", { occupancy: types.Occupancy.Stable }),
         ],
         units: [fixtures.createUnit("s", { mayCrashWorker: true }), fixtures.createUnit("t", { mayCrashWorker: true })],
         starts: { s: ["settled"] },
--- a/src/decisions/__tests__/referencePlace.ts
+++ b/src/decisions/__tests__/referencePlace.ts
@@ -158,7 +158,7 @@
         const used = workers.reduce((sum, worker) => sum + worker.used[dimension], 0);
         return 2 * used < workers.reduce((sum, worker) => sum + worker.capacity[dimension], 0);
     });
-    const bound = unit.tier === types.Claim.Guaranteed ? GUARANTEED_MAX_WAIT_MS : Infinity;
+    const bound = unit.tier === types.PreemptionTier.Guaranteed ? GUARANTEED_MAX_WAIT_MS : Infinity;
     return Math.min(mostlyFree ? IDLE_MAX_WAIT_MS : Infinity, bound, unit.expectedDurationMs * share);
 }
 
--- a/src/decisions/__tests__/referencePlan.ts
+++ b/src/decisions/__tests__/referencePlan.ts
@@ -67,7 +67,7 @@
     };
 
     const startedWorkerIds = new Set<string>();
-    const exclude = (unit: types.WaitingUnit, occupancy: types.Company): types.WaitingUnit => {
+    const exclude = (unit: types.WaitingUnit, occupancy: types.Occupancy): types.WaitingUnit => {
         const excluded = input.workers.filter(worker =>
             worker.occupancy >= occupancy || startedWorkerIds.has(worker.id)
         );
@@ -81,8 +81,8 @@
         if (unplaceableClasses.has(waiting.equivalenceClass)) {
             continue;
         }
-        const unit = exclude(stepTasks.withStepTasks(waiting), types.Company.RecentStart);
-        const workerIds = referencePlace.place(exclude(unit, types.Company.Stable), input.workers, getFree)
+        const unit = exclude(stepTasks.withStepTasks(waiting), types.Occupancy.RecentStart);
+        const workerIds = referencePlace.place(exclude(unit, types.Occupancy.Stable), input.workers, getFree)
             ?? referencePlace.place(unit, input.workers, getFree);
         if (workerIds) {
             starts.push({ unit, workerIds: workerIds });
@@ -104,7 +104,7 @@
             stepTasks.add(unit, later);
             continue;
         }
-        if (unit.tier === types.Claim.None || !tryPreempt(unit)) {
+        if (unit.tier === types.PreemptionTier.None || !tryPreempt(unit)) {
             unplaceableClasses.add(unit.equivalenceClass);
         }
     }
--- a/src/decisions/__tests__/referencePreempt.ts
+++ b/src/decisions/__tests__/referencePreempt.ts
@@ -50,7 +50,7 @@
         }
     }
     // A guaranteed gang has to start in time even if no single rack can hold it.
-    if (!best && unit.sameRack && unit.tier === types.Claim.Guaranteed) {
+    if (!best && unit.sameRack && unit.tier === types.PreemptionTier.Guaranteed) {
         return chooseOptions(unit, hosts, getResources);
     }
     return best;
--- a/src/decisions/__tests__/stopCost.test.ts
+++ b/src/decisions/__tests__/stopCost.test.ts
@@ -4,7 +4,7 @@
 /** Work of 8 s, 4 s of it done, in a job that is 4 s old and has an objective of 24 s. */
 const HALF_DONE: stopCost.StopCostInput = {
     lossCoreSeconds: 40,
-    urgency: { tier: types.Claim.None, priority: 1, ageMs: 4_000, objectiveMs: 24_000, remainingMs: 8_000 },
+    urgency: { tier: types.PreemptionTier.None, priority: 1, ageMs: 4_000, objectiveMs: 24_000, remainingMs: 8_000 },
     elapsedMs: 4_000,
     unsavedMs: 4_000,
     preemptions: 0,
--- a/src/decisions/index.ts
+++ b/src/decisions/index.ts
@@ -1,6 +1,6 @@
 /** Order, placement and preemption of tasks: pure decisions that use no network and read no clock. */
 export { isMechanism, type Mechanism, MECHANISMS, NO_MECHANISMS } from "./mechanism";
-export { getLatenessClass, Prospect, type Urgency } from "./order";
+export { getLatenessClass, LatenessClass, type Urgency } from "./order";
 export { decidePace, type PaceInput } from "./pace";
 export { plan } from "./plan";
 export { disableMechanisms, POLICIES, type Policy, type PolicyName } from "./policy";
@@ -26,14 +26,14 @@
 } from "./speed";
 export { isMoveWorthwhile, PREEMPTION_BACKOFF_MS } from "./stopCost";
 export {
-    Claim,
-    Company,
     type DisruptionBudget,
+    Occupancy,
     type PlaceableWorker,
     type Plan,
     type PlanInput,
     type PlannedStart,
     type PlannedStop,
+    PreemptionTier,
     type RunningGroup,
     TIER_NAMES,
     type WaitingUnit,
--- a/src/decisions/isolation.ts
+++ b/src/decisions/isolation.ts
@@ -21,18 +21,18 @@
 export function createIsolation(workers: readonly types.PlaceableWorker[]): Isolation {
     /** Workers on which this pass has started a task. */
     const startedWorkerIds = new Set<string>();
-    const listExcluded = (unit: types.WaitingUnit, occupancy: types.Company) => [
+    const listExcluded = (unit: types.WaitingUnit, occupancy: types.Occupancy) => [
         ...unit.excludedWorkerIds,
         ...startedWorkerIds,
         ...workers.filter(worker => worker.occupancy >= occupancy).map(worker => worker.id),
     ];
-    const exclude = (unit: types.WaitingUnit, occupancy: types.Company) => ({
+    const exclude = (unit: types.WaitingUnit, occupancy: types.Occupancy) => ({
         ...unit,
         excludedWorkerIds: new Set(listExcluded(unit, occupancy)),
     });
     return {
-        avoidRecentStarts: unit => unit.mayCrashWorker ? exclude(unit, types.Company.RecentStart) : unit,
-        requireIdleWorkers: unit => unit.mayCrashWorker ? exclude(unit, types.Company.Stable) : undefined,
+        avoidRecentStarts: unit => unit.mayCrashWorker ? exclude(unit, types.Occupancy.RecentStart) : unit,
+        requireIdleWorkers: unit => unit.mayCrashWorker ? exclude(unit, types.Occupancy.Stable) : undefined,
         recordStart: workerIds => workerIds.forEach(id => startedWorkerIds.add(id)),
     };
 }
--- a/src/decisions/order.ts
+++ b/src/decisions/order.ts
@@ -13,7 +13,7 @@
 
 /** The sort key of waiting work. */
 export interface Urgency {
-    readonly tier: types.Claim;
+    readonly tier: types.PreemptionTier;
     /** Priority of the queue; 0 is the highest. */
     readonly priority: number;
     /** Time since the job was submitted, or since the occurrence was due. */
@@ -25,27 +25,27 @@
 }
 
 /** Whether the work can still earn full, partial or no credit; lower goes first. */
-export const Prospect = { InTime: 0, Late: 1, TooLate: 2 } as const;
-export type Prospect = typeof Prospect[keyof typeof Prospect];
+export const LatenessClass = { InTime: 0, Late: 1, TooLate: 2 } as const;
+export type LatenessClass = typeof LatenessClass[keyof typeof LatenessClass];
 
 /** The lateness class of work that starts now. */
-export function getLatenessClass(urgency: Urgency): Prospect {
+export function getLatenessClass(urgency: Urgency): LatenessClass {
     const endsAfterMs = urgency.ageMs + urgency.remainingMs;
     if (endsAfterMs <= urgency.objectiveMs) {
-        return Prospect.InTime;
+        return LatenessClass.InTime;
     }
-    return endsAfterMs <= PARTIAL_CREDIT_MULTIPLE * urgency.objectiveMs ? Prospect.Late : Prospect.TooLate;
+    return endsAfterMs <= PARTIAL_CREDIT_MULTIPLE * urgency.objectiveMs ? LatenessClass.Late : LatenessClass.TooLate;
 }
 
 /** Longest wait that does not worsen the lateness class; `Infinity` for work that can earn no credit. */
 export function getSlackMs(urgency: Urgency): number {
     const endsAfterMs = urgency.ageMs + urgency.remainingMs;
     switch (getLatenessClass(urgency)) {
-        case Prospect.InTime:
+        case LatenessClass.InTime:
             return urgency.objectiveMs - endsAfterMs;
-        case Prospect.Late:
+        case LatenessClass.Late:
             return PARTIAL_CREDIT_MULTIPLE * urgency.objectiveMs - endsAfterMs;
-        case Prospect.TooLate:
+        case LatenessClass.TooLate:
             return Infinity;
     }
 }
--- a/src/decisions/place.ts
+++ b/src/decisions/place.ts
@@ -218,7 +218,7 @@
     disabledMechanisms: ReadonlySet<mechanism.Mechanism>,
 ): number {
     const waitMs = unit.expectedDurationMs * share;
-    const maxWaitMs = unit.tier === types.Claim.Guaranteed ? Math.min(waitMs, GUARANTEED_MAX_WAIT_MS) : waitMs;
+    const maxWaitMs = unit.tier === types.PreemptionTier.Guaranteed ? Math.min(waitMs, GUARANTEED_MAX_WAIT_MS) : waitMs;
     return maxWaitMs > IDLE_MAX_WAIT_MS && !disabledMechanisms.has("idlePatience") && pool.isMostlyFree()
         ? IDLE_MAX_WAIT_MS
         : maxWaitMs;
--- a/src/decisions/plan.ts
+++ b/src/decisions/plan.ts
@@ -47,7 +47,7 @@
             passResources.reserve(unit, futureHosts);
             continue;
         }
-        const choice = unit.tier === types.Claim.None || disabledMechanisms.has("preemption")
+        const choice = unit.tier === types.PreemptionTier.None || disabledMechanisms.has("preemption")
             ? undefined
             : passResources.getPreemptor().chooseVictims(unit);
         if (!choice) {
--- a/src/decisions/preempt.ts
+++ b/src/decisions/preempt.ts
@@ -103,7 +103,7 @@
             ? findCheapest(unit, rackOptions, minimizesVictims)
             : takeHostOptions(unit, mergeHostOptions(rackOptions), minimizesVictims);
         // A guaranteed gang has to start in time even if no single rack can hold it.
-        return best ?? (unit.sameRack && unit.tier === types.Claim.Guaranteed
+        return best ?? (unit.sameRack && unit.tier === types.PreemptionTier.Guaranteed
             ? takeHostOptions(unit, mergeHostOptions(rackOptions), minimizesVictims)
             : undefined);
     };
--- a/src/decisions/types.ts
+++ b/src/decisions/types.ts
@@ -3,14 +3,14 @@
 import type * as mechanism from "./mechanism";
 
 /** Whether a worker has tasks and, if so, whether one has just started. */
-export const Company = {
+export const Occupancy = {
     Idle: 0,
     /** All tasks have run for a while. */
     Stable: 1,
     /** At least one task has just started. */
     RecentStart: 2,
 } as const;
-export type Company = typeof Company[keyof typeof Company];
+export type Occupancy = typeof Occupancy[keyof typeof Occupancy];
 
 /** A worker on which tasks may be started. */
 export interface PlaceableWorker {
@@ -27,11 +27,11 @@
     readonly latencySensitiveTasks: number;
     /** Number of tasks on the worker that use only spare processor time. */
     readonly bestEffortTasks: number;
-    readonly occupancy: Company;
+    readonly occupancy: Occupancy;
 }
 
 /** Work of a higher tier may preempt work of a lower one. */
-export const Claim = {
+export const PreemptionTier = {
     /** Waits for free resources and preempts nothing. */
     None: 0,
     /** Priority 0, beyond the guarantee of the account. */
@@ -41,11 +41,11 @@
     /** Within the guarantee of the account. */
     Guaranteed: 3,
 } as const;
-export type Claim = typeof Claim[keyof typeof Claim];
+export type PreemptionTier = typeof PreemptionTier[keyof typeof PreemptionTier];
 
 /** Names of the tiers in log lines and metrics. */
 export const TIER_NAMES = { 0: "none", 1: "urgent", 2: "lasting", 3: "guaranteed" } as const satisfies Readonly<
-    Record<Claim, string>
+    Record<PreemptionTier, string>
 >;
 
 /** Tasks that start together: a single task or a whole gang. */
@@ -71,7 +71,7 @@
     readonly maxPerWorker: number;
     /** Number of tasks of the step by worker, if `maxPerWorker` is set. */
     readonly stepTasksByWorker?: ReadonlyMap<string, number>;
-    readonly tier: Claim;
+    readonly tier: PreemptionTier;
     /** Has a latency bound, which best-effort tasks on the same worker may violate. */
     readonly latencySensitive: boolean;
     /** Uses only spare processor time. */
@@ -89,7 +89,7 @@
 /** Tasks that are stopped together: a single task or a whole gang. */
 export interface RunningGroup {
     readonly key: string;
-    readonly tier: Claim;
+    readonly tier: PreemptionTier;
     readonly members: ReadonlyArray<{ readonly workerId: string; readonly needs: work.Resources; }>;
     /** Work that a stop throws away, in core-seconds. */
     readonly lossCoreSeconds: number;
@@ -129,7 +129,7 @@
     readonly group: RunningGroup;
     /** Key of the unit that gets the resources, and its tier. */
     readonly forUnit: string;
-    readonly tier: Claim;
+    readonly tier: PreemptionTier;
 }
 
 /** The decisions of a pass. */
--- a/src/leader/__tests__/fixtures.ts
+++ b/src/leader/__tests__/fixtures.ts
@@ -41,7 +41,7 @@
     return entries.createOccurrenceEntry(job, 0, 0).steps[0]!.tasks[0]!;
 }
 
-export const LIST_OPTIONS: lostRuns.ListOptions = { estimateRunMs: ({ spec }) => spec.estimateMs };
+export const LIST_OPTIONS: lostRuns.ListLostRunsOptions = { estimateRunMs: ({ spec }) => spec.estimateMs };
 
 /** A lease that never expires. */
 export const LEADERSHIP: heldLease.Leadership = {
--- a/src/leader/__tests__/lease.test.ts
+++ b/src/leader/__tests__/lease.test.ts
@@ -25,7 +25,7 @@
             log: SILENT_LOG,
             ...telemetry.createMetrics(),
             instance: name,
-            life: `${name}-1`,
+            incarnationId: `${name}-1`,
             watchAddress: name,
             peerAddress: "",
             watchHolder: (_address, onExit) => {
--- a/src/leader/__tests__/orders.test.ts
+++ b/src/leader/__tests__/orders.test.ts
@@ -71,7 +71,7 @@
                 meter: telemetry.createMetrics().meter,
                 signal: new AbortController().signal,
                 getSession: () => session as workerSession.WorkerSession,
-                mayOrder: () => true,
+                mayIssueOrders: () => true,
                 mayStart: () => mayStart,
                 disabledMechanisms: new Set(),
             });
--- a/src/leader/__tests__/waitingCounts.test.ts
+++ b/src/leader/__tests__/waitingCounts.test.ts
@@ -50,7 +50,7 @@
             log,
             meter: telemetry.createMetrics().meter,
             instance: "a",
-            life: "a-1",
+            incarnationId: "a-1",
             watchAddress: "",
             peerAddress: "",
             watchHolder: () => ({ getHeartbeatAgeMs: () => undefined, end: () => undefined }),
--- a/src/leader/lease.ts
+++ b/src/leader/lease.ts
@@ -30,7 +30,7 @@
     readonly meter: observe.Meter;
     readonly instance: string;
     /** Unique to this incarnation of the process. */
-    readonly life: string;
+    readonly incarnationId: string;
     /** Address of this process's liveness server; empty if it has none. */
     readonly watchAddress: string;
     /** Address at which this instance accepts forwarded requests; empty if it accepts none. */
@@ -92,7 +92,7 @@
     const holder = holderMonitor.createHolderMonitor({
         clock: time,
         log,
-        incarnationId: options.life,
+        incarnationId: options.incarnationId,
         watchHolder: options.watchHolder,
         onExit: () => wake?.(),
     });
@@ -190,7 +190,7 @@
     ): leaseRecord.LeaseRecord => {
         const truncated = waiting && waitingCounts.truncateCounts(waiting);
         return {
-            holder: options.life,
+            holder: options.incarnationId,
             instance: options.instance,
             token,
             watchAddress: options.watchAddress,
@@ -320,7 +320,7 @@
         getObservation: () => observed,
         isLeading: () => term !== undefined,
         endTerm: endTerm,
-        getHandoverOffer: () => term && { holder: options.life, token: term.leadership.token },
+        getHandoverOffer: () => term && { holder: options.incarnationId, token: term.leadership.token },
         isRenewalOverdue: () => term?.renewals.isOverdue() ?? false,
         endTermForHandover: () => endTerm("handed over to an instance that reaches the store"),
         takeOverFrom: token => {
--- a/src/leader/lostRuns.ts
+++ b/src/leader/lostRuns.ts
@@ -26,7 +26,7 @@
 }
 
 /** What is known of the loss whose runs are listed. */
-export interface ListOptions {
+export interface ListLostRunsOptions {
     /** When another incarnation of the worker was first known; `undefined` if there is none. */
     readonly successorSeenAt?: number;
     /** Whether the worker has restarted under its name, so that it may have received a start without an answer. */
@@ -36,7 +36,7 @@
 }
 
 /** Lists the runs that may have been on the worker when it was lost. */
-export function listLostRuns(worker: entries.WorkerEntry, options: ListOptions): LostRun[] {
+export function listLostRuns(worker: entries.WorkerEntry, options: ListLostRunsOptions): LostRun[] {
     const {
         successorSeenAt: successorSeenAt = Infinity,
         hasNextIncarnation: hasNextIncarnation = false,
--- a/src/leader/orders.ts
+++ b/src/leader/orders.ts
@@ -18,7 +18,7 @@
     readonly meter: observe.Meter;
     readonly signal: AbortSignal;
     getSession(worker: entries.WorkerEntry): workerSession.WorkerSession | undefined;
-    mayOrder(): boolean;
+    mayIssueOrders(): boolean;
     /** Whether tasks that were placed on the worker may still be started there. */
     mayStart(worker: entries.WorkerEntry): boolean;
     readonly disabledMechanisms: ReadonlySet<decisions.Mechanism>;
@@ -98,7 +98,7 @@
         if (task.worker !== worker || task.run !== run) {
             return;
         }
-        const mayStart = answers && worker && session && options.mayOrder() && options.mayStart(worker);
+        const mayStart = answers && worker && session && options.mayIssueOrders() && options.mayStart(worker);
         if (!mayStart || task.phase !== "recording") {
             if (worker && task.phase === "recording") {
                 worker.quarantinedUntil = answers
@@ -201,7 +201,7 @@
         log.info("stopWanted", { task: task.name, run, worker: worker?.id, reason: task.stopReason });
         while (worker && isOpen()) {
             const session = options.getSession(worker);
-            const answer = session && options.mayOrder()
+            const answer = session && options.mayIssueOrders()
                 ? await session.stop({ task: task.name, run })
                 : undefined;
             if (answer) {
@@ -223,7 +223,7 @@
     const paceOne = async (task: entries.TaskEntry, percent: number) => {
         const { worker, run, pacePercent } = task;
         const session = worker && options.getSession(worker);
-        if (!session || !options.mayOrder()) {
+        if (!session || !options.mayIssueOrders()) {
             return;
         }
         task.pacePercent = percent;
@@ -242,7 +242,7 @@
             if (!session) {
                 return;
             }
-            const answer = options.mayOrder() ? await session.stop({ task, run }) : undefined;
+            const answer = options.mayIssueOrders() ? await session.stop({ task, run }) : undefined;
             if (answer?.kind === "accepted" || answer?.kind === "refused" || answer?.kind === "otherLife") {
                 return;
             }
@@ -273,7 +273,7 @@
         stop: task => void stopOne(task),
         stopUnknownRun: (worker, reported) => {
             const session = options.getSession(worker);
-            if (session && options.mayOrder()) {
+            if (session && options.mayIssueOrders()) {
                 void session.stop({ task: reported.task, run: reported.run });
             }
         },
--- a/src/leader/taskWatchdog.ts
+++ b/src/leader/taskWatchdog.ts
@@ -72,7 +72,7 @@
     workers: readonly entries.WorkerEntry[],
     options: {
         readonly now: number;
-        readonly expect: units.RunTimeEstimator;
+        readonly estimateRunMs: units.RunTimeEstimator;
         readonly jobRegistry: jobRegistry.JobRegistry;
         readonly log: observe.Log;
         readonly disabledMechanisms: ReadonlySet<decisions.Mechanism>;
@@ -90,7 +90,7 @@
             ) {
                 options.jobRegistry.requestStop(task, "workerLeaves");
             }
-            else if (!disabledMechanisms.has("hangingTasks") && hangs(task, options.expect)) {
+            else if (!disabledMechanisms.has("hangingTasks") && hangs(task, options.estimateRunMs)) {
                 task.stalls++;
                 worker.quarantinedUntil = options.now + HANG_QUARANTINE_MS;
                 options.log.warn("workerSuspect", { worker: worker.id, reason: "no progress", task: task.name });
@@ -131,10 +131,10 @@
 function endsInTime(
     task: entries.TaskEntry,
     worker: entries.WorkerEntry,
-    options: { readonly now: number; readonly expect: units.RunTimeEstimator; },
+    options: { readonly now: number; readonly estimateRunMs: units.RunTimeEstimator; },
 ): boolean {
     const leavesAt = (worker.drainingSince ?? options.now) + worker.info.remainingMs;
-    const expectedEndAt = task.runningSince + options.expect(task.step);
+    const expectedEndAt = task.runningSince + options.estimateRunMs(task.step);
     const leftMs = leavesAt - options.now;
     if (expectedEndAt < leavesAt - LEAVE_MARGIN_MS) {
         return leftMs > LEAVE_MARGIN_MS;
--- a/src/leader/term.ts
+++ b/src/leader/term.ts
@@ -132,7 +132,7 @@
         meter,
         signal,
         getSession: worker => registry.getSession(worker),
-        mayOrder: leadership.mayIssueOrders,
+        mayIssueOrders: leadership.mayIssueOrders,
         mayStart: worker => mayStart(worker, time.now()),
         disabledMechanisms,
     });
@@ -270,7 +270,7 @@
         const view = createView(guarantees.findGuaranteedJobs(jobRegistry.active, options.catalog.getAccount));
         taskWatchdog.stopUnviableTasks([...registry.workers.values()], {
             now,
-            expect: estimateRunMs,
+            estimateRunMs: estimateRunMs,
             jobRegistry,
             log,
             disabledMechanisms,
--- a/src/leader/units.ts
+++ b/src/leader/units.ts
@@ -156,15 +156,15 @@
     };
 }
 
-function getPreemptionTier(step: entries.StepEntry, options: UnitsOptions): decisions.Claim {
+function getPreemptionTier(step: entries.StepEntry, options: UnitsOptions): decisions.PreemptionTier {
     const { job } = step.occurrence;
     if (options.isGuaranteed(job)) {
-        return decisions.Claim.Guaranteed;
+        return decisions.PreemptionTier.Guaranteed;
     }
     if (step.spec.lasting) {
-        return decisions.Claim.Lasting;
+        return decisions.PreemptionTier.Lasting;
     }
-    return job.queue.priority === 0 ? decisions.Claim.Urgent : decisions.Claim.None;
+    return job.queue.priority === 0 ? decisions.PreemptionTier.Urgent : decisions.PreemptionTier.None;
 }
 
 /** Expected times of an occurrence of the job. The objective counts from the job's acceptance or from the due time. */
@@ -304,11 +304,11 @@
     };
 }
 
-function getCompany(worker: entries.WorkerEntry): decisions.Company {
+function getCompany(worker: entries.WorkerEntry): decisions.Occupancy {
     for (const task of worker.tasks) {
         if (suspects.isUnsettled(task)) {
-            return decisions.Company.RecentStart;
+            return decisions.Occupancy.RecentStart;
         }
     }
-    return worker.tasks.size > 0 ? decisions.Company.Stable : decisions.Company.Idle;
+    return worker.tasks.size > 0 ? decisions.Occupancy.Stable : decisions.Occupancy.Idle;
 }
--- a/src/scheduler/scheduler.ts
+++ b/src/scheduler/scheduler.ts
@@ -122,7 +122,7 @@
         log,
         meter,
         instance: options.instance,
-        life: options.incarnation,
+        incarnationId: options.incarnation,
         watchAddress: options.watchAddress,
         peerAddress: options.peerAddress,
         watchHolder: (address, onGone) => {
