--- a/src/explain/__tests__/jobReport.test.ts
+++ b/src/explain/__tests__/jobReport.test.ts
@@ -3,6 +3,7 @@
 const JOB = "00000000000000aa";
 const OTHER = "00000000000000bb";
 
+/** A log line, `second` seconds after a fixed time. */
 function line(second: number, event: string, fields: Record<string, unknown> = {}, instance = "leader"): string {
     const time = new Date(1_700_000_000_000 + second * 1_000).toISOString();
     return JSON.stringify({ time, level: "info", instance, event, ...fields });
@@ -32,7 +33,7 @@
     return line(second, "jobEnded", { job: JOB, state, objectiveMs: 4_000, expectedMs: 2_000, coreSeconds: 9 });
 }
 
-function keep(lines: readonly string[]): explain.JobReport {
+function createReport(lines: readonly string[]): explain.JobReport {
     return explain.createJobReport(lines.map(explain.parseLogLine).filter(parsed => parsed !== undefined));
 }
 
@@ -45,13 +46,13 @@
 
 const cases: readonly Case[] = [
     {
-        name: "in time",
+        name: "completed in time",
         lines: [submitted(0, "accepted"), placed(1, "0.0.0", 1_000), ended(3)],
         served: "inTime",
         delays: { entry: 0, place: 1_000, longRun: 0 },
     },
     {
-        name: "late at the entry",
+        name: "late because its first submission was refused",
         lines: [
             submitted(0, "notAccepted", { reason: "the store cannot be reached" }),
             submitted(3, "accepted"),
@@ -62,7 +63,7 @@
         delays: { entry: 3_000, place: 0, longRun: 0 },
     },
     {
-        name: "late for a gang that was stopped, of which each member tells",
+        name: "late because a gang was preempted, which each member logs",
         lines: [
             submitted(0, "accepted"),
             placed(0, "0.0.0", 0),
@@ -75,7 +76,7 @@
         delays: { entry: 0, place: 0, preempted: 4_000, longRun: 0 },
     },
     {
-        name: "late for the slowest of many tasks, step after step",
+        name: "late by the slowest task of each step",
         lines: [
             submitted(0, "accepted"),
             placed(0, "0.0.0", 0),
@@ -87,7 +88,7 @@
         delays: { entry: 0, place: 2_500, longRun: 6_500 },
     },
     {
-        name: "missed by failures",
+        name: "missed because it failed",
         lines: [
             submitted(0, "accepted"),
             placed(0, "0.0.0", 0),
@@ -104,40 +105,40 @@
         delays: { entry: 0 },
     },
     {
-        // Symptom: the ledger of a heavy day cannot be read at all. Sequence: a leader beyond its budget of lines leaves
-        // out where a step was placed, and tells of a run that ended early. Cause: a step without a known unit.
-        name: "known by its lost runs alone",
+        // Guards against a report that cannot be created at all: a leader that exceeds its limit of log lines omits the
+        // placement of a step but logs a run that ended early, so the step has no known unit.
+        name: "late, with a lost run whose placement is not logged",
         lines: [submitted(0, "accepted"), lost(2, "0.0.0", 2_000, "preempted for bb.0.0.0"), ended(5)],
         served: "late",
         delays: { entry: 0, longRun: 3_000 },
     },
-    { name: "open", lines: [submitted(0, "accepted")], served: "open", delays: { entry: 0 } },
+    { name: "not finished", lines: [submitted(0, "accepted")], served: "open", delays: { entry: 0 } },
 ];
 
-describe("the ledger", () => {
-    test.each(cases)("of a job that is $name", ({ lines, served, delays }) => {
-        const [job] = keep(lines).jobs;
+describe("job report", () => {
+    test.each(cases)("shows the result and the delays of a job that is $name", ({ lines, served, delays }) => {
+        const [job] = createReport(lines).jobs;
         expect(job).toMatchObject({ jobId: JOB, queue: "q", entry: "a", served });
         expect(job!.delays).toEqual(delays);
     });
 
-    test("leaves out cancelled jobs", () => {
-        expect(keep([submitted(0, "accepted"), ended(1, "cancelled")]).jobs).toEqual([]);
+    test("omits cancelled jobs", () => {
+        expect(createReport([submitted(0, "accepted"), ended(1, "cancelled")]).jobs).toEqual([]);
     });
 
-    test("adds up what each term threw away, of which every line tells the whole", () => {
-        const ledger = keep([
+    test("adds up the thrown-away work of all terms, whose lines each have the totals of their term so far", () => {
+        const report = createReport([
             line(1, "workThrownAway", { token: 1, coreSeconds: { preempted: 5 } }),
             line(3, "workThrownAway", { token: 1, coreSeconds: { preempted: 7, jobCancelled: 2 } }),
             line(9, "workThrownAway", { token: 2, coreSeconds: { preempted: 4 } }),
         ]);
-        expect(ledger.thrownAway).toEqual({ preempted: 11, jobCancelled: 2 });
-        expect(explain.renderJobReport(ledger)).toContain("13 core-seconds  all");
+        expect(report.thrownAway).toEqual({ preempted: 11, jobCancelled: 2 });
+        expect(explain.renderJobReport(report)).toContain("13 core-seconds  all");
     });
 
-    test("tells what became of the victim of a stop and of the job that it was made for", () => {
+    test("shows how the victim of a preemption and the job that benefits from it were served", () => {
         const other = (text: string) => text.replaceAll(JOB, OTHER);
-        const ledger = keep([
+        const report = createReport([
             submitted(0, "accepted"),
             placed(0, "0.0.0", 0),
             other(submitted(1, "accepted")).replace("\"q\"", "\"urgent\""),
@@ -145,14 +146,14 @@
             other(ended(3)),
             ended(9),
         ]);
-        expect(ledger.stops).toEqual([{
+        expect(report.stops).toEqual([{
             victimQueue: "q",
             victimServed: "late",
             forQueue: "urgent",
             forServed: "inTime",
             lossCoreSeconds: 7,
         }]);
-        const text = explain.renderJobReport(ledger);
+        const text = explain.renderJobReport(report);
         expect(text).toContain("q (late) for urgent (inTime)");
         expect(text).toContain(`${JOB}  q  late (completed)  9000 of 4000 ms, 9 core-seconds: longRun 7000`);
     });
--- a/src/explain/__tests__/timeline.test.ts
+++ b/src/explain/__tests__/timeline.test.ts
@@ -2,11 +2,13 @@
 
 const JOB = "00000000000000aa";
 
+/** A log line, `second` seconds after a fixed time. */
 function line(second: number, event: string, fields: Record<string, unknown> = {}, instance = "a"): string {
     const time = new Date(1_700_000_000_000 + second * 1_000).toISOString();
     return JSON.stringify({ time, level: "info", instance, event, ...fields });
 }
 
+/** A line of a submission with the given outcome. */
 function submitted(second: number, outcome: string, reason?: string): string {
     return line(second, "request", { request: "r1", call: "submit", job: JOB, account: "x", outcome, reason });
 }
@@ -15,18 +17,19 @@
     readonly name: string;
     readonly lines: readonly string[];
     readonly verdict: explain.Verdict;
+    /** Last line of the rendered timeline. */
     readonly text: string;
 }
 
 const cases: readonly Case[] = [
     {
-        name: "refused: the store was out of reach",
+        name: "refused while the store was unreachable",
         lines: [line(0, "storeLost", { why: "silence" }), submitted(1, "notAccepted", "the store cannot be reached")],
         verdict: { kind: "refused", reason: "the store cannot be reached" },
         text: "Refused, not run: the store cannot be reached.",
     },
     {
-        name: "accepted at the second try, and late since other work went first",
+        name: "accepted at the second attempt, and completed after a preemption",
         lines: [
             submitted(0, "notAccepted", "busy"),
             submitted(1, "accepted"),
@@ -38,7 +41,7 @@
         text: "Completed after 8000 ms, first placed after 2000 ms; runs that ended early: 1 preempted.",
     },
     {
-        name: "failed on two workers",
+        name: "failed after failed runs on two workers",
         lines: [
             submitted(0, "accepted"),
             line(2, "runFailed", { task: `${JOB}.0.0.0`, worker: "w1" }, "b"),
@@ -49,7 +52,7 @@
         text: "Failed after 2 failed runs, on w1, w2.",
     },
     {
-        name: "failed since workers crashed under one of its tasks",
+        name: "failed because workers crashed while they ran one of its tasks",
         lines: [
             submitted(0, "accepted"),
             line(1, "runLost", { task: `${JOB}.0.0.1`, worker: "w0" }, "b"),
@@ -59,7 +62,7 @@
             line(4, "jobEnded", { job: JOB, state: "failed", ageMs: 4_000 }, "b"),
         ],
         verdict: { kind: "givenUp", task: `${JOB}.0.0.0`, workers: ["w1", "w2"] },
-        text: `Failed: workers crashed under task ${JOB}.0.0.0, w1, w2.`,
+        text: `Failed: workers crashed while they ran task ${JOB}.0.0.0: w1, w2.`,
     },
     {
         name: "cancelled",
@@ -68,24 +71,24 @@
         text: "Cancelled by its caller.",
     },
     {
-        name: "nothing known",
+        name: "not in any log line",
         lines: [line(0, "jobEnded", { job: "00000000000000ab" }), "not a line", "{\"cut off"],
         verdict: { kind: "unknown" },
-        text: "No line tells of it.",
+        text: "No log line refers to it.",
     },
 ];
 
 describe("explain", () => {
-    test.each(cases)("$name", ({ lines, verdict, text }) => {
+    test.each(cases)("verdict of a job: $name", ({ lines, verdict, text }) => {
         const parsed = lines.map(explain.parseLogLine).filter(entry => entry !== undefined);
         for (const id of verdict.kind === "unknown" ? [JOB] : [JOB, "r1"]) {
-            const story = explain.createTimeline(parsed, id);
-            expect(story.verdict).toEqual(verdict);
-            expect(explain.renderTimeline(story).split("\n").at(-1)).toBe(text);
+            const timeline = explain.createTimeline(parsed, id);
+            expect(timeline.verdict).toEqual(verdict);
+            expect(explain.renderTimeline(timeline).split("\n").at(-1)).toBe(text);
         }
     });
 
-    test("lines of several instances stand in the order of their time, with what befell these instances meanwhile", () => {
+    test("orders the lines of several instances by time, with the state changes of these instances in between", () => {
         const parsed = [
             line(4, "jobEnded", { job: JOB, state: "completed", ageMs: 1 }, "b"),
             line(2, "leadershipTaken", { token: 2 }, "b"),
--- a/src/explain/index.ts
+++ b/src/explain/index.ts
@@ -1,4 +1,4 @@
-/** Explains what became of a request, or of all jobs, from log lines alone. */
+/** Explains the outcome of one request, or of all jobs, from log lines alone. */
 export { createJobReport, type JobReport, type JobSummary, type PreemptionRecord, Served } from "./jobReport";
 export { renderJobReport } from "./renderJobReport";
 export { renderTimeline } from "./renderTimeline";
--- a/src/explain/jobReport.ts
+++ b/src/explain/jobReport.ts
@@ -1,42 +1,46 @@
 /**
- * A ledger of all jobs that log lines tell of: what became of each, and where its time went from first send to end.
+ * Report on all jobs in the log lines: the outcome of each, and what delayed it between its first submission and its end.
  *
- * Of a step the unit counts whose waits and lost runs took longest, since the step's end had to wait for it; the steps
- * of a job add up. What is left of a job's time is work that was done once.
+ * The delay of a step is that of the unit whose waits and lost runs took longest, since the step ends with it; the delays
+ * of a job's steps are added. The remaining time of a job is that of runs that completed their work.
  */
 import * as runEnds from "./runEnds";
-import type * as story from "./timeline";
+import type * as timelines from "./timeline";
 
+/** How a job was served in relation to its objective. The values are output by `--json`. */
 export const Served = { InTime: "inTime", Late: "late", Missed: "missed", Refused: "refused", Open: "open" } as const;
 export type Served = typeof Served[keyof typeof Served];
 
 /**
- * Where time went beyond the expected work, in milliseconds: `entry`, `place`, the reason for which a run was lost, or
- * `longRun` for what the last runs took longer than expected, on slow workers, far from their data or by a wrong estimate.
+ * Time beyond the expected duration of the work, in milliseconds by cause: `entry` until the job was accepted, `place`
+ * until its units were placed, the reason for which a run was lost, or `longRun` for the excess of the last runs over
+ * their expected duration, on slow workers, on another rack than their data or because of a wrong estimate.
  */
 export type Delays = Readonly<Record<string, number>>;
 
+/** Summary of one job. Its keys are output by `--json`. */
 export interface JobSummary {
     readonly jobId: string;
     readonly queue: string;
     readonly account: string;
-    /** Instance to which it was sent first. */
+    /** Instance to which it was submitted first. */
     readonly entry: string;
-    /** Of the first send, in milliseconds since 1970. */
+    /** Time of the first submission, in milliseconds since 1970. */
     readonly sentAt: number;
-    /** How often it was sent until it was accepted. */
+    /** Number of submissions until it was accepted. */
     readonly sends: number;
     readonly served: Served;
+    /** Final state; for other jobs the reason of the last refusal, or `open`. */
     readonly state: string;
-    /** From the first send to the end. */
+    /** Time from the first submission to the end. */
     readonly tookMs: number | undefined;
     readonly objectiveMs: number | undefined;
-    /** Work that it takes, an accelerator counted as eight cores. */
+    /** Amount of work; an accelerator counts as eight cores. */
     readonly coreSeconds: number;
     readonly delays: Delays;
 }
 
-/** A stop of running work for urgent work, and what became of both. */
+/** A stop of running work for urgent work, and how both jobs were served. */
 export interface PreemptionRecord {
     readonly victimQueue: string;
     readonly victimServed: Served;
@@ -45,67 +49,71 @@
     readonly lossCoreSeconds: number;
 }
 
+/** Report on all jobs. Its keys are output by `--json`. */
 export interface JobReport {
     readonly jobs: readonly JobSummary[];
     readonly stops: readonly PreemptionRecord[];
-    /** Core-seconds that all terms together threw away, by cause. */
+    /** Thrown-away work of all terms in core-seconds, by cause. */
     readonly thrownAway: Readonly<Record<string, number>>;
 }
 
-/** A late job still earns something up to this multiple of its objective. */
-const LATE_MULTIPLE = 3;
+/** A job is late, and not missed, up to this multiple of its objective: it still earns partial credit. */
+const MAX_LATE_FACTOR = 3;
 
 interface Unit {
     readonly delays: Map<string, number>;
-    /** Of the runs that ended early since the unit was placed last, the longest. */
+    /** Duration of the longest run that ended early since the unit was last placed. */
     lostMs: number;
+    /** Reason for which the first of these runs ended. */
     lostReason: string | undefined;
 }
 
-/** What was read of one job so far. */
-interface Tally {
+/** What the lines processed so far contain of one job. */
+interface JobRecord {
     queue: string;
     account: string;
     entry: string;
     sentAt: number;
     acceptedAt: number | undefined;
     sends: number;
+    /** Reason of the last refusal. */
     reason: string | undefined;
-    /** By step, then by unit: a gang's is its first member. */
+    /** Units by step and by name; the unit of a gang has the name of its first member. */
     readonly steps: Map<string, Map<string, Unit>>;
-    ended: story.LogLine | undefined;
+    /** The line that reports the end. */
+    ended: timelines.LogLine | undefined;
 }
 
-/** Cancelled jobs are left out: nobody waits for them. */
-export function createJobReport(lines: readonly story.LogLine[]): JobReport {
-    const tallies = new Map<string, Tally>();
-    const stops: story.LogLine[] = [];
+/** Creates the report. Cancelled jobs are omitted, since nobody waits for them. */
+export function createJobReport(lines: readonly timelines.LogLine[]): JobReport {
+    const records = new Map<string, JobRecord>();
+    const preemptions: timelines.LogLine[] = [];
     const thrownAwayByTerm = new Map<unknown, Readonly<Record<string, number>>>();
     for (const line of [...lines].sort((a, b) => Date.parse(a.time) - Date.parse(b.time))) {
         if (line.event === "preempting") {
-            stops.push(line);
+            preemptions.push(line);
         }
         if (line.event === "workThrownAway") {
-            // Each line tells the whole of its term so far.
+            // Each line has the totals of its term so far, so the last one counts.
             thrownAwayByTerm.set(line.fields["token"], line.fields["coreSeconds"] as Readonly<Record<string, number>>);
         }
-        takeLine(tallies, line);
+        processLine(records, line);
     }
-    const jobs = [...tallies].filter(([, tally]) => tally.ended?.fields["state"] !== "cancelled")
-        .map(([jobId, tally]) => createEntry(jobId, tally));
+    const jobs = [...records].filter(([, record]) => record.ended?.fields["state"] !== "cancelled")
+        .map(([jobId, record]) => createSummary(jobId, record));
     const byId = new Map(jobs.map(job => [job.jobId, job]));
     return {
         jobs,
         thrownAway: sumByCause(thrownAwayByTerm.values()),
-        stops: stops.flatMap(line => {
+        stops: preemptions.flatMap(line => {
             const victim = byId.get(getJobId(line.fields["group"]));
-            const gainer = byId.get(getJobId(line.fields["forUnit"]));
-            return victim && gainer
+            const beneficiary = byId.get(getJobId(line.fields["forUnit"]));
+            return victim && beneficiary
                 ? [{
                     victimQueue: victim.queue,
                     victimServed: victim.served,
-                    forQueue: gainer.queue,
-                    forServed: gainer.served,
+                    forQueue: beneficiary.queue,
+                    forServed: beneficiary.served,
                     lossCoreSeconds: Number(line.fields["lossCoreSeconds"]),
                 }]
                 : [];
@@ -113,16 +121,16 @@
     };
 }
 
-function takeLine(tallies: Map<string, Tally>, line: story.LogLine): void {
+function processLine(records: Map<string, JobRecord>, line: timelines.LogLine): void {
     const { fields } = line;
     switch (line.event) {
         case "request":
             if (fields["call"] === "submit") {
-                takeSubmission(tallies, line);
+                processSubmission(records, line);
             }
             break;
         case "placed": {
-            const unit = findUnit(tallies, fields["unit"], true);
+            const unit = findUnit(records, fields["unit"], true);
             if (unit) {
                 addDelay(unit, unit.lostReason ?? "place", Number(fields["waitedMs"]) + unit.lostMs);
                 unit.lostMs = 0;
@@ -133,7 +141,7 @@
         case "runEnded":
         case "runFailed":
         case "runLost": {
-            const unit = findUnit(tallies, fields["task"], false);
+            const unit = findUnit(records, fields["task"], false);
             if (unit) {
                 unit.lostMs = Math.max(unit.lostMs, Number(fields["ranMs"] ?? fields["seenMs"] ?? 0));
                 unit.lostReason ??= runEnds.getEndReason(line);
@@ -141,9 +149,9 @@
             break;
         }
         case "jobEnded": {
-            const tally = tallies.get(String(fields["job"]));
-            if (tally) {
-                tally.ended = line;
+            const record = records.get(String(fields["job"]));
+            if (record) {
+                record.ended = line;
             }
             break;
         }
@@ -152,12 +160,12 @@
     }
 }
 
-function takeSubmission(tallies: Map<string, Tally>, line: story.LogLine): void {
+function processSubmission(records: Map<string, JobRecord>, line: timelines.LogLine): void {
     const { fields } = line;
     const jobId = String(fields["job"]);
-    let tally = tallies.get(jobId);
-    if (!tally) {
-        tally = {
+    let record = records.get(jobId);
+    if (!record) {
+        record = {
             queue: String(fields["queue"]),
             account: String(fields["account"]),
             entry: line.instance,
@@ -168,24 +176,27 @@
             steps: new Map(),
             ended: undefined,
         };
-        tallies.set(jobId, tally);
+        records.set(jobId, record);
     }
-    if (tally.acceptedAt !== undefined) {
+    if (record.acceptedAt !== undefined) {
         return;
     }
-    tally.sends++;
+    record.sends++;
     if (fields["outcome"] === "accepted") {
-        tally.acceptedAt = Date.parse(line.time);
+        record.acceptedAt = Date.parse(line.time);
     }
     else {
-        tally.reason = String(fields["reason"] ?? fields["outcome"]);
+        record.reason = String(fields["reason"] ?? fields["outcome"]);
     }
 }
 
-/** The unit that a task's name belongs to. Members of a gang are told one by one, and count with the unit that was placed. */
-function findUnit(tallies: Map<string, Tally>, name: unknown, create: boolean): Unit | undefined {
+/**
+ * Finds the unit of a task. A gang is placed as one unit but its runs end one by one, so a task without a unit of its own
+ * counts with the last unit that was placed in its step. With `create` a missing unit is added.
+ */
+function findUnit(records: Map<string, JobRecord>, name: unknown, create: boolean): Unit | undefined {
     const text = String(name);
-    const steps = tallies.get(getJobId(text))?.steps;
+    const steps = records.get(getJobId(text))?.steps;
     const step = text.split(".").slice(1, 3).join(".");
     if (!steps) {
         return undefined;
@@ -193,7 +204,7 @@
     const units = steps.get(step) ?? new Map<string, Unit>();
     const known = units.get(text) ?? (create ? undefined : [...units.values()].at(-1));
     if (known || !create) {
-        // Of a run whose place was not told, as a busy leader leaves lines out, nothing is known.
+        // Undefined if the line that places the run is missing: a busy leader omits lines.
         return known;
     }
     const unit = { delays: new Map<string, number>(), lostMs: 0, lostReason: undefined };
@@ -210,12 +221,12 @@
     return String(name).split(".", 1)[0]!;
 }
 
-function createEntry(jobId: string, tally: Tally): JobSummary {
-    const { ended, sentAt, acceptedAt } = tally;
+function createSummary(jobId: string, record: JobRecord): JobSummary {
+    const { ended, sentAt, acceptedAt } = record;
     const objectiveMs = ended ? toNumber(ended.fields["objectiveMs"]) : undefined;
     const tookMs = ended && Date.parse(ended.time) - sentAt;
     const delays = new Map<string, number>([["entry", (acceptedAt ?? sentAt) - sentAt]]);
-    for (const units of tally.steps.values()) {
+    for (const units of record.steps.values()) {
         const slowest = [...units.values()].reduce((a, b) => sum(b.delays) > sum(a.delays) ? b : a);
         slowest.delays.forEach((ms, reason) => delays.set(reason, (delays.get(reason) ?? 0) + ms));
     }
@@ -225,13 +236,13 @@
     }
     return {
         jobId,
-        queue: tally.queue,
-        account: tally.account,
-        entry: tally.entry,
+        queue: record.queue,
+        account: record.account,
+        entry: record.entry,
         sentAt,
-        sends: tally.sends,
-        served: judge(tally, tookMs, objectiveMs),
-        state: ended ? String(ended.fields["state"]) : tally.reason ?? "open",
+        sends: record.sends,
+        served: getServed(record, tookMs, objectiveMs),
+        state: ended ? String(ended.fields["state"]) : record.reason ?? "open",
         tookMs,
         objectiveMs,
         coreSeconds: toNumber(ended?.fields["coreSeconds"]) ?? 0,
@@ -239,30 +250,30 @@
     };
 }
 
-function judge(tally: Tally, tookMs: number | undefined, objectiveMs: number | undefined): Served {
-    if (tally.acceptedAt === undefined) {
+function getServed(record: JobRecord, tookMs: number | undefined, objectiveMs: number | undefined): Served {
+    if (record.acceptedAt === undefined) {
         return Served.Refused;
     }
-    if (!tally.ended || tookMs === undefined) {
+    if (!record.ended || tookMs === undefined) {
         return Served.Open;
     }
-    if (tally.ended.fields["state"] !== "completed" || objectiveMs === undefined) {
+    if (record.ended.fields["state"] !== "completed" || objectiveMs === undefined) {
         return Served.Missed;
     }
     if (tookMs <= objectiveMs) {
         return Served.InTime;
     }
-    return tookMs <= LATE_MULTIPLE * objectiveMs ? Served.Late : Served.Missed;
+    return tookMs <= MAX_LATE_FACTOR * objectiveMs ? Served.Late : Served.Missed;
 }
 
 function sumByCause(terms: Iterable<Readonly<Record<string, number>>>): Readonly<Record<string, number>> {
-    const totals = new Map<string, number>();
+    const totalsByCause = new Map<string, number>();
     for (const term of terms) {
         for (const [cause, coreSeconds] of Object.entries(term)) {
-            totals.set(cause, (totals.get(cause) ?? 0) + coreSeconds);
+            totalsByCause.set(cause, (totalsByCause.get(cause) ?? 0) + coreSeconds);
         }
     }
-    return Object.fromEntries(totals);
+    return Object.fromEntries(totalsByCause);
 }
 
 function sum(delays: ReadonlyMap<string, number>): number {
--- a/src/explain/renderTimeline.ts
+++ b/src/explain/renderTimeline.ts
@@ -1,9 +1,12 @@
-/** A story as text for people. */
-import type * as story from "./timeline";
+/** Renders a timeline as text. */
+import type * as timelines from "./timeline";
 
-export function renderTimeline(told: story.Timeline): string {
-    const lines = told.lines.map(line => `${line.time}  ${line.instance}  ${line.event}${renderFields(line.fields)}`);
-    return [...lines, "", renderVerdict(told.verdict)].join("\n");
+/** Renders one line per log line, and then the verdict. */
+export function renderTimeline(timeline: timelines.Timeline): string {
+    const lines = timeline.lines.map(line =>
+        `${line.time}  ${line.instance}  ${line.event}${renderFields(line.fields)}`
+    );
+    return [...lines, "", renderVerdict(timeline.verdict)].join("\n");
 }
 
 function renderFields(fields: Readonly<Record<string, unknown>>): string {
@@ -13,16 +16,16 @@
         .join("");
 }
 
-function renderVerdict(verdict: story.Verdict): string {
+function renderVerdict(verdict: timelines.Verdict): string {
     switch (verdict.kind) {
         case "refused":
             return `Refused, not run: ${verdict.reason}.`;
         case "undecided":
-            return `No answer of the store decided it: ${verdict.reason}.`;
+            return `Undecided, since the store did not answer: ${verdict.reason}.`;
         case "failed":
             return `Failed after ${verdict.runs} failed runs, on ${verdict.workers.join(", ")}.`;
         case "givenUp":
-            return `Failed: workers crashed under task ${verdict.task}, ${verdict.workers.join(", ")}.`;
+            return `Failed: workers crashed while they ran task ${verdict.task}: ${verdict.workers.join(", ")}.`;
         case "cancelled":
             return "Cancelled by its caller.";
         case "completed": {
@@ -32,8 +35,8 @@
             return `Completed after ${verdict.ageMs} ms${wait}${cost}.`;
         }
         case "open":
-            return `Not over as far as these lines tell; the last is ${verdict.last}.`;
+            return `Not finished according to these lines; the last event is ${verdict.last}.`;
         case "unknown":
-            return "No line tells of it.";
+            return "No log line refers to it.";
     }
 }
--- a/src/explain/runEnds.ts
+++ b/src/explain/runEnds.ts
@@ -1,8 +1,8 @@
-/** Lines that tell of a run that did not end well. */
-import type * as story from "./timeline";
+/** Log lines of runs that ended without completing their task. */
+import type * as timeline from "./timeline";
 
-/** Why the run ended, in a word; `undefined` for lines that tell of something else. */
-export function getEndReason({ event, fields }: story.LogLine): string | undefined {
+/** Returns the reason for which the run ended early, as one word; `undefined` for other lines. */
+export function getEndReason({ event, fields }: timeline.LogLine): string | undefined {
     switch (event) {
         case "runFailed":
             return "failed";
--- a/src/random/index.ts
+++ b/src/random/index.ts
@@ -1,11 +1,12 @@
-/** Seeded random numbers, so that a run can be repeated from its seed. */
+/** Seeded pseudo-random numbers, so that a run can be reproduced from its seed. */
 import * as distribution from "pure-rand/distribution/uniformInt";
 import * as generator from "pure-rand/generator/xoroshiro128plus";
 
+/** A source of pseudo-random numbers. */
 export interface Random {
     /** Uniform in [0, 1). */
     nextFloat(): number;
-    /** Uniform in [0, bound). */
+    /** Uniform integer in [0, bound). */
     nextInt(bound: number): number;
     /** Exponentially distributed with the given mean. */
     nextExponential(mean: number): number;
@@ -15,8 +16,10 @@
     pick<T>(items: readonly T[]): T;
 }
 
+/** Number of distinct values of `nextFloat`. */
 const FLOAT_STEPS = 2 ** 30;
 
+/** Creates a source; the same seed gives the same sequence. */
 export function createRandom(seed: number): Random {
     const source = generator.xoroshiro128plus(seed);
     const nextInt = (bound: number) => distribution.uniformInt(source, 0, bound - 1);
