--- a/src/emulator/chaos.ts
+++ b/src/emulator/chaos.ts
@@ -1,6 +1,6 @@
 /**
- * A random site: jobs, and faults of store, workers and instances in windows that overlap, all from one seed. After
- * the faults everything heals, and every job must come to its end.
+ * Chaos test of a whole site: random jobs, and faults of store, workers and instances in overlapping time windows, all
+ * derived from one seed. After the last fault the site must recover and every job must end.
  */
 import type * as catalogs from "../catalog/index";
 import * as clocks from "../clock/index";
@@ -8,19 +8,20 @@
 import type * as observe from "../observe/index";
 import * as random from "../random/index";
 import * as telemetry from "../telemetry/index";
-import * as hazardsOfWorkers from "./hazards";
+import * as workerHazards from "./hazards";
 import type * as jobModel from "./jobModel";
 import * as randomJob from "./randomJob";
 import * as sites from "./site";
 import type * as stores from "./store";
 import type * as workerOrders from "./workerOrders";
-import * as workersInMemory from "./workers";
+import * as emulatedWorkers from "./workers";
 
+/** Result of one chaos run. */
 export interface ChaosReport {
     readonly seed: number;
-    /** Broken promises, in words; empty when all were kept. */
+    /** Descriptions of invariant violations. */
     readonly violations: readonly string[];
-    /** Jobs that could be done and were given up, since workers had crashed under one of their tasks. */
+    /** Number of jobs that could have completed but failed because workers had crashed under one of their tasks. */
     readonly wronglyFailedJobs: number;
     /** Log lines of all instances, in order. */
     readonly lines: ReadonlyArray<Readonly<Record<string, unknown>>>;
@@ -30,28 +31,33 @@
 const WORKERS = 6;
 const WORKERS_PER_RACK = 3;
 const JOBS = 14;
-/** Faults begin and end within this time; then the site has the rest to recover. */
-const TROUBLE_MS = 25_000;
+/** Faults begin and end within this time, apart from those that `shiftMs` moves. */
+const FAULTS_MS = 25_000;
+/** Time for recovery after the faults. */
 const RECOVERY_MS = 70_000;
 const STEP_MS = 50;
 /**
- * After the faults: an order that is carried out 6.3 s late may be the last of them, a leader is found anew within 2 s,
- * and a worker that was out of reach is heard again and told to stop within another.
+ * Time after the faults within which the tasks of cancelled jobs must have stopped. The last order may be carried out
+ * 6.3 s late, a new leader is elected within 2 s, and a worker that was unreachable answers and is told to stop within
+ * another 2 s.
  */
-const STOP_WITHIN_MS = 10_000;
+const MAX_STOP_MS = 10_000;
 
+/** Time window in which calls to `target` fail with the given probability; an empty target means all. */
 interface Window<T> {
     readonly from: number;
     readonly to: number;
-    readonly share: number;
+    readonly probability: number;
     readonly fault: T;
     readonly target: string;
 }
 
 /**
- * With `slowStore` the store is also slow for a while, and then takes the transactions of a part one by one; with
- * `hazards` tasks take workers down, workers crash and come back, and capacities change; with `restarts` workers start
- * again under their ids. `shiftMs` later than the seed says, faults and events meet the leader's timers at other moments.
+ * Runs a random site until it has recovered from its faults.
+ *
+ * With `slowStore` the store is also slow for a while, and carries out the transactions of a part one at a time. With
+ * `hazards` tasks crash their workers, workers crash and come back, and capacities change. With `restarts` workers
+ * restart under the same ids. `shiftMs` delays faults and events, so that they coincide with other timers of the leader.
  */
 export async function runChaos(
     seed: number,
@@ -72,13 +78,13 @@
         "cut",
         "unwell",
     ], ["", ...range(WORKERS).map(getWorkerId)]).map(window => shift(window, shiftMs));
-    const slowUntil = source.nextInt(TROUBLE_MS);
-    const slowSpell = slowStore ? drawSlowSpell(seed) : undefined;
+    const slowWorkerUntil = source.nextInt(FAULTS_MS);
+    const slowWindow = slowStore ? createSlowWindow(seed) : undefined;
     const hazards = withHazards
-        ? hazardsOfWorkers.drawHazards({ seed, forMs: TROUBLE_MS, clock: time, racks: RACKS })
+        ? workerHazards.createHazards({ seed, durationMs: FAULTS_MS, clock: time, racks: RACKS })
         : undefined;
     const restarts = withRestarts
-        ? hazardsOfWorkers.drawRestarts({ seed, forMs: TROUBLE_MS, racks: RACKS })
+        ? workerHazards.createRestarts({ seed, durationMs: FAULTS_MS, racks: RACKS })
         : undefined;
     const site = sites.createSite({
         clock: time,
@@ -91,60 +97,60 @@
         workers: range(WORKERS).map(createWorker),
         catalog: createCatalog(),
         storeFaults: {
-            decide: caller => pick(source, storeWindows, time.now(), caller) ?? "none",
+            decide: caller => pickFault(source, storeWindows, time.now(), caller) ?? "none",
             lateMs: 300 + source.nextInt(3_000),
             getSlowdown: () =>
-                slowSpell && time.now() >= slowSpell.from && time.now() < slowSpell.to ? slowSpell.times : 1,
+                slowWindow && time.now() >= slowWindow.from && time.now() < slowWindow.to ? slowWindow.slowdown : 1,
         },
-        storePartBusyMs: slowSpell ? PART_MS : undefined,
+        storePartBusyMs: slowWindow ? PART_BUSY_MS : undefined,
         workerFaults: {
-            decide: worker => pick(source, workerWindows, time.now(), worker) ?? "none",
+            decide: worker => pickFault(source, workerWindows, time.now(), worker) ?? "none",
             lateMs: 300 + source.nextInt(6_000),
-            getSlowdown: worker => worker === getWorkerId(0) && time.now() < slowUntil ? 20 : 1,
+            getSlowdown: worker => worker === getWorkerId(0) && time.now() < slowWorkerUntil ? 20 : 1,
         },
     });
-    const drawn = range(JOBS).map(number => randomJob.createRandomJob(source, number));
-    const jobs = hazards ? drawn.map(hazards.withRandomCrashes) : drawn;
+    const randomJobs = range(JOBS).map(number => randomJob.createRandomJob(source, number));
+    const jobs = hazards ? randomJobs.map(hazards.withRandomCrashes) : randomJobs;
     const cancelled = new Set<string>();
     const accepted = new Set<string>();
     const acknowledged = new Set<string>();
-    const runOn = new Set<string>();
+    const runningAfterCancel = new Set<string>();
     const events = createEvents(source, site, jobs, { accepted, cancelled, acknowledged });
     for (const { at, act } of [...hazards?.events ?? [], ...restarts?.events ?? []]) {
         events.push({ at, act: () => act(site), done: false });
     }
     events.forEach(event => event.at += shiftMs);
-    while (time.now() < TROUBLE_MS + RECOVERY_MS) {
+    while (time.now() < FAULTS_MS + RECOVERY_MS) {
         for (const event of events.filter(candidate => candidate.at <= time.now() && !candidate.done)) {
             event.done = true;
             event.act();
         }
-        if (time.now() >= TROUBLE_MS + STOP_WITHIN_MS) {
+        if (time.now() >= FAULTS_MS + MAX_STOP_MS) {
             site.workers.getRunningTasks()
                 .filter(task => acknowledged.has(task.split(".", 1)[0]!))
-                .forEach(task => runOn.add(task));
+                .forEach(task => runningAfterCancel.add(task));
         }
         await time.advance(STEP_MS);
     }
-    const breaches = [...workersInMemory.listViolations(site.workers)];
-    runOn.forEach(task => breaches.push(`${task} runs on though its job was cancelled`));
-    let soundGivenUp = 0;
+    const violations = [...emulatedWorkers.listViolations(site.workers)];
+    runningAfterCancel.forEach(task => violations.push(`${task} still runs after its job was cancelled`));
+    let wronglyFailedJobs = 0;
     for (const job of jobs) {
-        const state = await ask(time, site, job);
+        const state = await getFinalState(time, site, job);
         const expected = cancelled.has(job.jobId)
             ? ["cancelled", "completed", "failed"]
             : randomJob.getExpectedStates(job);
         if (
             state === "failed" && !expected.includes(state) && randomJob.mayFailByCrashes(job, site.workers.lossCounts)
         ) {
-            soundGivenUp++;
+            wronglyFailedJobs++;
         }
         else if (accepted.has(job.jobId) && !expected.includes(state)) {
-            breaches.push(`job ${job.jobId} is ${state}, not ${expected.join(" or ")}`);
+            violations.push(`job ${job.jobId} is ${state}; expected ${expected.join(" or ")}`);
         }
     }
     site.close();
-    return { seed, violations: breaches, wronglyFailedJobs: soundGivenUp, lines };
+    return { seed, violations, wronglyFailedJobs, lines };
 }
 
 interface ChaosEvent {
@@ -153,7 +159,7 @@
     done: boolean;
 }
 
-/** Ids of the jobs that were accepted, of those whose cancellation was sent, and of those for which it was acknowledged. */
+/** Ids of jobs that were accepted, whose cancellation was sent, and whose cancellation was acknowledged. */
 interface JobSets {
     readonly accepted: Set<string>;
     readonly cancelled: Set<string>;
@@ -168,22 +174,22 @@
 ): ChaosEvent[] {
     const events: ChaosEvent[] = [];
     const add = (at: number, act: () => void) => events.push({ at, act, done: false });
-    const down = new Set<number>();
+    const downInstances = new Set<number>();
     for (const job of jobs) {
-        const handIn = (tries: number) => {
-            // A caller comes back, at another instance, until it is told.
+        const submit = (retries: number) => {
+            // A caller retries, at a random instance, until its job is accepted.
             void site.submit(job, source.nextInt(INSTANCES)).then(reply => {
                 if (reply.kind === "accepted") {
                     accepted.add(job.jobId);
                 }
-                else if (tries > 0) {
-                    handIn(tries - 1);
+                else if (retries > 0) {
+                    submit(retries - 1);
                 }
             });
         };
-        add(500 + source.nextInt(TROUBLE_MS - 5_000), () => handIn(5));
+        add(500 + source.nextInt(FAULTS_MS - 5_000), () => submit(5));
         if (source.nextInt(6) === 0) {
-            add(4_000 + source.nextInt(TROUBLE_MS), () => {
+            add(4_000 + source.nextInt(FAULTS_MS), () => {
                 if (accepted.has(job.jobId)) {
                     cancelled.add(job.jobId);
                     void site.cancel(job.jobId, source.nextInt(INSTANCES)).then(reply => {
@@ -197,14 +203,14 @@
     }
     for (let kill = source.nextInt(5); kill > 0; kill--) {
         const instance = source.nextInt(INSTANCES);
-        const at = 1_000 + source.nextInt(TROUBLE_MS - 2_000);
-        const silent = source.nextInt(2) === 0;
+        const at = 1_000 + source.nextInt(FAULTS_MS - 2_000);
+        const isPowerFailure = source.nextInt(2) === 0;
         add(at, () => {
-            if (down.has(instance)) {
+            if (downInstances.has(instance)) {
                 return;
             }
-            down.add(instance);
-            if (silent) {
+            downInstances.add(instance);
+            if (isPowerFailure) {
                 site.powerOff(instance);
             }
             else {
@@ -212,7 +218,7 @@
             }
         });
         add(at + 200 + source.nextInt(4_000), () => {
-            if (down.delete(instance)) {
+            if (downInstances.delete(instance)) {
                 site.restart(instance);
             }
         });
@@ -220,12 +226,12 @@
     for (let freeze = source.nextInt(4); freeze > 0; freeze--) {
         const ms = 500 + source.nextInt(7_000);
         const suspended = source.nextInt(2) === 0;
-        // The leader if there is one: the others have nothing to do wrong.
-        add(1_500 + source.nextInt(TROUBLE_MS - 2_000), () => site.freeze(site.getLeader() ?? 0, ms, suspended));
+        // Freezes the leader if there is one, since only the leader issues orders.
+        add(1_500 + source.nextInt(FAULTS_MS - 2_000), () => site.freeze(site.getLeader() ?? 0, ms, suspended));
     }
     if (source.nextInt(2) === 0) {
         const worker = getWorkerId(source.nextInt(WORKERS));
-        add(2_000 + source.nextInt(TROUBLE_MS), () => {
+        add(2_000 + source.nextInt(FAULTS_MS), () => {
             site.workers.kill(worker, false);
             site.workers.add({ ...createWorker(0), id: `${worker}-new`, address: `${worker}-new` });
         });
@@ -233,31 +239,31 @@
     return events;
 }
 
-/** Drawn apart from all else, so that a seed plays the same jobs and faults with and without it. */
-function drawSlowSpell(seed: number) {
-    const source = random.createRandom(seed + FIRST_SLOW_SEED);
-    const from = source.nextInt(TROUBLE_MS);
-    const to = Math.min(TROUBLE_MS, from + 500 + source.nextInt(6_000));
-    return { from, to, times: 10 + source.nextInt(110) };
+/** Uses a random source of its own, so that a seed gives the same jobs and faults with and without `slowStore`. */
+function createSlowWindow(seed: number) {
+    const source = random.createRandom(seed + SLOW_STORE_SEED_OFFSET);
+    const from = source.nextInt(FAULTS_MS);
+    const to = Math.min(FAULTS_MS, from + 500 + source.nextInt(6_000));
+    return { from, to, slowdown: 10 + source.nextInt(110) };
 }
 
-/** Far from the seeds of sites. */
-const FIRST_SLOW_SEED = 9_000_000;
-/** A part takes 200 transactions a second. */
-const PART_MS = 5;
+/** Keeps the derived seeds apart from the seeds of sites. */
+const SLOW_STORE_SEED_OFFSET = 9_000_000;
+/** A part carries out 200 transactions per second. */
+const PART_BUSY_MS = 5;
 
 function createWindows<T>(
     source: random.Random,
-    most: number,
+    maxCount: number,
     faults: readonly T[],
     targets: readonly string[],
 ): Array<Window<T>> {
-    return range(source.nextInt(most + 1)).map(() => {
-        const from = source.nextInt(TROUBLE_MS);
+    return range(source.nextInt(maxCount + 1)).map(() => {
+        const from = source.nextInt(FAULTS_MS);
         return {
             from,
-            to: Math.min(TROUBLE_MS, from + 300 + source.nextInt(9_000)),
-            share: 0.1 + 0.9 * source.nextFloat(),
+            to: Math.min(FAULTS_MS, from + 300 + source.nextInt(9_000)),
+            probability: 0.1 + 0.9 * source.nextFloat(),
             fault: source.pick(faults),
             target: source.pick(targets),
         };
@@ -268,14 +274,19 @@
     return { ...window, from: window.from + byMs, to: window.to + byMs };
 }
 
-function pick<T>(source: random.Random, windows: ReadonlyArray<Window<T>>, now: number, target: string): T | undefined {
+function pickFault<T>(
+    source: random.Random,
+    windows: ReadonlyArray<Window<T>>,
+    now: number,
+    target: string,
+): T | undefined {
     const open = windows.find(window =>
         now >= window.from && now < window.to && (window.target === "" || window.target === target)
     );
-    return open && source.nextFloat() < open.share ? open.fault : undefined;
+    return open && source.nextFloat() < open.probability ? open.fault : undefined;
 }
 
-async function ask(time: clocks.ManualClock, site: sites.Site, job: jobModel.EmulatedJob): Promise<string> {
+async function getFinalState(time: clocks.ManualClock, site: sites.Site, job: jobModel.EmulatedJob): Promise<string> {
     const reply = site.getState(job.jobId, site.getLeader() ?? 0);
     let answer: string | undefined;
     void reply.then(value => {
@@ -294,7 +305,7 @@
         pathPrefix: `/${name}/`,
         service: "service",
         priority,
-        // Room for the random failures of a run beside a poisoned job's.
+        // Allows for random failures of runs beside those of a job that always fails.
         maxAttempts: 4,
         stretch: 3,
         objectiveMs: 1_000,
@@ -333,10 +344,10 @@
 }
 
 function createLog(time: clocks.Clock, lines: Array<Record<string, unknown>>): observe.Log {
-    const keep = (level: string) => (event: string, fields?: Readonly<Record<string, unknown>>) => {
+    const createWriter = (level: string) => (event: string, fields?: Readonly<Record<string, unknown>>) => {
         lines.push({ at: Math.round(time.now()), level, event, ...fields });
     };
-    return { info: keep("info"), warn: keep("warn"), error: keep("error") };
+    return { info: createWriter("info"), warn: createWriter("warn"), error: createWriter("error") };
 }
 
 function range(count: number): number[] {
--- a/src/emulator/freezer.ts
+++ b/src/emulator/freezer.ts
@@ -1,29 +1,32 @@
 /**
- * Lets one instance stand still: its timers do not fire and no answer reaches it, while everything else goes on. What
- * it had sent is carried out. It wakes up in the middle of whatever it was doing.
+ * Pauses one instance as a stopped process: its timers do not fire and it receives no answers until it resumes, while
+ * everything else goes on. Calls that it has already sent are carried out.
  */
 import * as clock from "../clock/index";
 import type * as leader from "../leader/index";
 import type * as rows from "../rows/index";
 
+/** Wraps the clock, store and workers of one instance, so that it can be paused. */
 export interface Freezer {
+    /** The instance's clock. */
     readonly clock: clock.Clock;
     isFrozen(): boolean;
     wrapStore(store: rows.RowStore): rows.RowStore;
     wrapWorkers(workers: leader.WorkerPort): leader.WorkerPort;
-    /** With `suspended` the monotonic clock does not count the pause, as on a machine that is suspended. */
+    /** Pauses for `ms`; with `suspended` the monotonic clock does not count the pause, as on a suspended machine. */
     freeze(ms: number, suspended: boolean): void;
 }
 
+/** Creates the freezer of one instance on the clock of the site. */
 export function createFreezer(base: clock.Clock): Freezer {
     let frozen = false;
-    let uncountedMs = 0;
-    const held: Array<() => void> = [];
+    let suspendedMs = 0;
+    const deferred: Array<() => void> = [];
 
-    const pass = async <T>(answer: Promise<T>): Promise<T> => {
+    const holdWhileFrozen = async <T>(answer: Promise<T>): Promise<T> => {
         const value = await answer;
         if (frozen) {
-            await new Promise<void>(resolve => held.push(resolve));
+            await new Promise<void>(resolve => deferred.push(resolve));
         }
         return value;
     };
@@ -36,7 +39,7 @@
         };
         const cancel = base.setTimer(ms, () => {
             if (frozen) {
-                held.push(fire);
+                deferred.push(fire);
                 return;
             }
             fire();
@@ -49,21 +52,21 @@
     return {
         clock: {
             wallTime: () => base.wallTime(),
-            now: () => base.now() - uncountedMs,
+            now: () => base.now() - suspendedMs,
             setTimer,
             sleep: clock.createSleep(setTimer),
         },
         isFrozen: () => frozen,
         wrapStore: store => ({
-            transact: (tx, timeoutMs) => pass(store.transact(tx, timeoutMs)),
-            read: (range, timeoutMs) => pass(store.read(range, timeoutMs)),
-            feed: (table, after, waitMs, timeoutMs) => pass(store.feed(table, after, waitMs, timeoutMs)),
+            transact: (tx, timeoutMs) => holdWhileFrozen(store.transact(tx, timeoutMs)),
+            read: (range, timeoutMs) => holdWhileFrozen(store.read(range, timeoutMs)),
+            feed: (table, after, waitMs, timeoutMs) => holdWhileFrozen(store.feed(table, after, waitMs, timeoutMs)),
         }),
         wrapWorkers: workers => ({
-            start: (worker, order, timeoutMs) => pass(workers.start(worker, order, timeoutMs)),
-            stop: (worker, order, timeoutMs) => pass(workers.stop(worker, order, timeoutMs)),
-            pace: (worker, order, timeoutMs) => pass(workers.pace(worker, order, timeoutMs)),
-            poll: (worker, order, timeoutMs) => pass(workers.poll(worker, order, timeoutMs)),
+            start: (worker, order, timeoutMs) => holdWhileFrozen(workers.start(worker, order, timeoutMs)),
+            stop: (worker, order, timeoutMs) => holdWhileFrozen(workers.stop(worker, order, timeoutMs)),
+            pace: (worker, order, timeoutMs) => holdWhileFrozen(workers.pace(worker, order, timeoutMs)),
+            poll: (worker, order, timeoutMs) => holdWhileFrozen(workers.poll(worker, order, timeoutMs)),
         }),
         freeze: (ms, suspended) => {
             if (frozen) {
@@ -72,8 +75,8 @@
             frozen = true;
             base.setTimer(ms, () => {
                 frozen = false;
-                uncountedMs += suspended ? ms : 0;
-                held.splice(0).forEach(release => release());
+                suspendedMs += suspended ? ms : 0;
+                deferred.splice(0).forEach(release => release());
             });
         },
     };
--- a/src/emulator/index.ts
+++ b/src/emulator/index.ts
@@ -1,4 +1,4 @@
-/** Store and workers in memory, with faults: for tests of the whole scheduler and for experiments on a manual clock. */
+/** In-memory store and workers with fault injection, for tests of the whole scheduler and experiments on a manual clock. */
 export { type ChaosReport, runChaos } from "./chaos";
 export { withRandomCrashes } from "./hazards";
 export { createTaskModel, type EmulatedJob } from "./jobModel";
--- a/src/emulator/machines.ts
+++ b/src/emulator/machines.ts
@@ -1,83 +1,93 @@
 /**
- * Machines beneath emulated workers, with waves of upkeep, faults, and a record of what a scheduler must never do.
+ * Emulated machines that host emulated workers. They undergo upkeep (maintenance of a machine) in waves (rolling
+ * maintenance orders), with fault injection and a record of the scheduler's invariant violations.
  */
 import type * as clock from "../clock/index";
 import type * as leader from "../leader/index";
-import type * as workersInMemory from "./workers";
+import type * as emulatedWorkers from "./workers";
 
+/** Fault injected into an upkeep order. */
 export type MachineFault =
     | "none"
-    /** Carried out, and the answer is lost. */
+    /** The order is carried out and its answer is lost. */
     | "loseAnswer"
-    /** Carried out `lateMs` later; no answer. */
+    /** The order is carried out `lateMs` later, and no answer is sent. */
     | "late"
-    /** Turned away; nothing was done. */
+    /** The order is rejected without effect. */
     | "refuse";
 
+/** Configuration of the emulated machines. */
 export interface EmulatedMachinesOptions {
     readonly clock: clock.Clock;
-    /** Called with each order before it is carried out. */
+    /** Returns the fault for an order; called before the order is carried out. By default there is none. */
     decide?(order: leader.UpkeepOrder): MachineFault;
-    /** Called when an upkeep has begun, before its answer is on the way. */
+    /** Called when an upkeep has begun, before the order is answered. */
     onUpkeep?(order: leader.UpkeepOrder): void;
+    /** Delay of the fault `late`; 0 by default. */
     readonly lateMs?: number;
+    /** How long a machine is down for its upkeep. */
     readonly upkeepMs: number;
     readonly waves: readonly leader.Wave[];
 }
 
+/** Machines, and what was observed of their upkeep. */
 export interface EmulatedMachines {
     readonly service: leader.MachineService;
     readonly wavePort: leader.WavePort;
-    /** Puts the machine beneath a worker that is there. */
-    addMachine(machineId: string, info: leader.WorkerInfo, workers: workersInMemory.EmulatedWorkers): void;
-    /** Breaches of promises, in words; empty when all were kept. */
+    /** Adds a machine that hosts an existing worker. */
+    addMachine(machineId: string, info: leader.WorkerInfo, workers: emulatedWorkers.EmulatedWorkers): void;
+    /** Descriptions of invariant violations. */
     readonly violations: readonly string[];
-    /** States of waves as they were told. */
+    /** Reported states of waves, each as `<wave number> <state>`. */
     readonly reports: readonly string[];
-    /** Tasks that ended because their machine went down. */
+    /** Number of tasks that were ended by the upkeep of their machine. */
     countEndedTasks(): number;
+    /** Number of upkeeps that have begun. */
     countUpkeeps(): number;
 }
 
 interface Machine {
     info: leader.WorkerInfo;
-    readonly workers: workersInMemory.EmulatedWorkers;
-    lives: number;
-    /** Waves whose upkeep it has begun. */
+    readonly workers: emulatedWorkers.EmulatedWorkers;
+    incarnationCount: number;
+    /** Numbers of the waves for which its upkeep has begun. */
     readonly served: Set<number>;
-    /** Wave of the upkeep that it is down for. */
-    downFor: number | undefined;
+    /** Number of the wave whose upkeep is in progress; `undefined` while the machine is up. */
+    currentWave: number | undefined;
 }
 
 const LATENCY_MS = 3;
-/** Orders of two holders for one machine must be further apart. */
+/** Minimum time between orders from two lease holders for one machine. */
 const HOLDER_LEASE_MS = 3_000;
 
+/** Creates a machine service without machines; see `addMachine`. */
 export function createEmulatedMachines(options: EmulatedMachinesOptions): EmulatedMachines {
     const { clock: time } = options;
     const machines = new Map<string, Machine>();
-    const breaches: string[] = [];
+    const violations: string[] = [];
     const reports: string[] = [];
     const completed = new Set<number>();
     let tasksEnded = 0;
     let upkeeps = 0;
     let highestToken = 0;
-    /** Holder and time of the latest order for each machine. */
+    /** Lease holder and time of the latest order for each machine. */
     const lastOrders = new Map<string, { readonly holder: string; readonly at: number; }>();
     const knownAt = time.now();
 
-    const noteOrder = (order: leader.UpkeepOrder) => {
+    const recordOrder = (order: leader.UpkeepOrder) => {
         const last = lastOrders.get(order.machine);
         if (last && last.holder !== order.holder && time.now() - last.at < HOLDER_LEASE_MS) {
-            breaches.push(`${order.machine} is ordered by two holders within ${Math.round(time.now() - last.at)} ms`);
+            violations.push(
+                `${order.machine} got orders from two lease holders within ${Math.round(time.now() - last.at)} ms`,
+            );
         }
         lastOrders.set(order.machine, { holder: order.holder, at: time.now() });
     };
-    const carryOut = (order: leader.UpkeepOrder): leader.UpkeepAnswer => {
+    const applyOrder = (order: leader.UpkeepOrder): leader.UpkeepAnswer => {
         const machine = machines.get(order.machine);
         const wave = options.waves.find(candidate => candidate.number === order.wave);
         if (!machine || !wave?.machines.includes(order.machine)) {
-            return { kind: "unknownMachine", message: "emulated: there is none" };
+            return { kind: "unknownMachine", message: "emulated: the wave has no such machine" };
         }
         if (order.fencingToken < highestToken) {
             return { kind: "fenced" };
@@ -86,22 +96,22 @@
         if (machine.served.has(wave.number)) {
             return { kind: "accepted" };
         }
-        if (machine.downFor !== undefined) {
+        if (machine.currentWave !== undefined) {
             return { kind: "busy" };
         }
-        const down = [...machines.values()].filter(other => other.downFor === wave.number).length;
-        if (down >= wave.maxCount) {
-            breaches.push(`${order.machine} goes down while ${down} machines of wave ${wave.number} are down`);
+        const downCount = [...machines.values()].filter(other => other.currentWave === wave.number).length;
+        if (downCount >= wave.maxCount) {
+            violations.push(`${order.machine} goes down while ${downCount} machines of wave ${wave.number} are down`);
         }
         upkeeps++;
         tasksEnded += machine.workers.countRunning(machine.info.id);
         machine.workers.kill(machine.info.id, false);
         machine.served.add(wave.number);
-        machine.downFor = wave.number;
+        machine.currentWave = wave.number;
         time.setTimer(options.upkeepMs, () => {
-            machine.downFor = undefined;
-            machine.lives++;
-            machine.info = { ...machine.info, id: `${order.machine}-life-${machine.lives}` };
+            machine.currentWave = undefined;
+            machine.incarnationCount++;
+            machine.info = { ...machine.info, id: `${order.machine}-life-${machine.incarnationCount}` };
             machine.workers.add(machine.info);
         });
         options.onUpkeep?.(order);
@@ -115,29 +125,29 @@
                     kind: "machines",
                     machines: [...machines].map(([id, machine]) => ({
                         id,
-                        up: machine.downFor === undefined,
-                        inUpkeep: machine.downFor !== undefined,
-                        workerName: machine.downFor === undefined ? machine.info.id : "",
+                        up: machine.currentWave === undefined,
+                        inUpkeep: machine.currentWave !== undefined,
+                        workerName: machine.currentWave === undefined ? machine.info.id : "",
                     })),
                 };
             },
             beginUpkeep: async (order, timeoutMs) => {
                 await time.sleep(LATENCY_MS);
-                noteOrder(order);
+                recordOrder(order);
                 const fault = options.decide?.(order) ?? "none";
                 switch (fault) {
                     case "none": {
-                        const answer = carryOut(order);
+                        const answer = applyOrder(order);
                         await time.sleep(LATENCY_MS);
                         return answer;
                     }
                     case "refuse":
                         return { kind: "unknown", message: "emulated: refused" };
                     case "loseAnswer":
-                        carryOut(order);
+                        applyOrder(order);
                         break;
                     case "late":
-                        time.setTimer(options.lateMs ?? 0, () => void carryOut(order));
+                        time.setTimer(options.lateMs ?? 0, () => void applyOrder(order));
                         break;
                 }
                 await time.sleep(timeoutMs);
@@ -156,15 +166,17 @@
                     const wave = options.waves.find(candidate => candidate.number === number)!;
                     wave.machines
                         .filter(id => machines.get(id)?.served.has(number) === false)
-                        .forEach(id => breaches.push(`wave ${number} is said to be completed without ${id}`));
+                        .forEach(id =>
+                            violations.push(`wave ${number} was reported as completed without the upkeep of ${id}`)
+                        );
                 }
                 return true;
             },
         },
         addMachine: (machineId, info, workers) => {
-            machines.set(machineId, { info, workers, lives: 0, served: new Set(), downFor: undefined });
+            machines.set(machineId, { info, workers, incarnationCount: 0, served: new Set(), currentWave: undefined });
         },
-        violations: breaches,
+        violations,
         reports,
         countEndedTasks: () => tasksEnded,
         countUpkeeps: () => upkeeps,
--- a/src/emulator/randomJob.ts
+++ b/src/emulator/randomJob.ts
@@ -1,9 +1,9 @@
-/** Jobs of all shapes, from a seeded source. */
+/** Random jobs of many shapes, from a seeded source. */
 import type * as random from "../random/index";
 import * as work from "../work/index";
 import type * as jobModel from "./jobModel";
 
-/** The same job for the same seed; `number` gives it its id. */
+/** Creates a random job, the same for the same state of the source; its id is derived from `number`. */
 export function createRandomJob(source: random.Random, number: number): jobModel.EmulatedJob {
     const gang = source.nextInt(3) === 0;
     const steps = Array.from({ length: 1 + source.nextInt(2) }, (_, step): work.StepSpec => ({
@@ -17,19 +17,19 @@
         sameRack: gang && source.nextInt(2) === 0,
         maxPerWorker: source.nextInt(4) === 0 ? 2 : 0,
     }));
-    const poison = source.nextInt(10) === 0;
-    const failing = source.nextInt(5) === 0;
+    const alwaysFails = source.nextInt(10) === 0;
+    const failsOnce = source.nextInt(5) === 0;
     return {
         jobId: (number + 1).toString(16).padStart(16, "0"),
         queue: source.pick(["urgent", "plan", "batch"]),
         account: "office",
         spec: { payload: "", steps, repeats: 0, firstDueAt: 0, periodMs: 0 },
         durationsMs: steps.map(step => step.estimateMs),
-        fails: (task, run) => poison || (failing && run === 1 && task.endsWith(".0")),
+        fails: (task, run) => alwaysFails || (failsOnce && run === 1 && task.endsWith(".0")),
     };
 }
 
-/** The states in which the job may end if nobody cancels it. */
+/** Returns the states in which the job may end if it is not cancelled. */
 export function getExpectedStates(job: jobModel.EmulatedJob): readonly string[] {
     if (job.fails?.("0.0.0.1", 2)) {
         return ["failed"];
@@ -38,17 +38,18 @@
     if (crashAfterMs === undefined) {
         return ["completed"];
     }
-    // A task that goes on from what it saved may be done before it takes its worker down once more.
-    const mayGoOn = crashAfterMs > AT_ONCE_MS && job.spec.steps.some(step => step.checkpoints);
-    return mayGoOn ? ["failed", "completed"] : ["failed"];
+    // A task that resumes from a checkpoint may complete before it crashes its worker again.
+    const mayComplete = crashAfterMs > IMMEDIATE_CRASH_MS && job.spec.steps.some(step => step.checkpoints);
+    return mayComplete ? ["failed", "completed"] : ["failed"];
 }
 
-/** No work is done before a crash that comes as soon. */
-const AT_ONCE_MS = 10;
+/** No work is done before a crash this soon after the start. */
+const IMMEDIATE_CRASH_MS = 10;
 
-/** Whether two workers have crashed under one of its tasks. */
+/** Returns whether the job may fail because enough workers were lost while they ran one of its tasks. */
 export function mayFailByCrashes(job: jobModel.EmulatedJob, lossCounts: ReadonlyMap<string, number>): boolean {
-    return [...lossCounts].some(([task, count]) => count >= LEAST_LOSSES && task.startsWith(`${job.jobId}.`));
+    return [...lossCounts].some(([task, count]) => count >= MIN_LOSSES && task.startsWith(`${job.jobId}.`));
 }
 
-const LEAST_LOSSES = 2;
+/** Minimum number of lost workers after which a task may be given up. */
+const MIN_LOSSES = 2;
--- a/src/emulator/site.ts
+++ b/src/emulator/site.ts
@@ -1,4 +1,4 @@
-/** A site in memory: instances of the real scheduler over an emulated store and workers, on a manual clock. */
+/** An in-memory site: instances of the real scheduler with an emulated store and workers, on a manual clock. */
 import * as events from "node:events";
 import type * as catalogs from "../catalog/index";
 import type * as clock from "../clock/index";
@@ -11,65 +11,74 @@
 import * as jobModel from "./jobModel";
 import * as stores from "./store";
 import type * as workerOrders from "./workerOrders";
-import * as workersInMemory from "./workers";
+import * as emulatedWorkers from "./workers";
 
+/** Configuration of an emulated site. */
 export interface SiteOptions {
     readonly clock: clock.Clock;
     readonly log: observe.Log;
     readonly meter: observe.Meter;
+    /** Number of scheduler instances. */
     readonly instances: number;
-    /** Processor time of each instance, in cores; by default one. */
+    /** CPU cores available to the instance; 1 by default. */
     getPower?(instance: number): number;
     readonly workers: readonly leader.WorkerInfo[];
     readonly catalog: catalogs.Catalog;
     readonly storeFaults?: stores.StoreFaults;
-    /** How long a transaction holds its part of the store; by default parts are never busy. */
+    /** How long a transaction occupies its part of the store; by default parts are never busy. */
     readonly storePartBusyMs?: number;
     readonly workerFaults?: workerOrders.WorkerFaults;
     readonly adviser?: leader.Adviser;
     readonly machines?: leader.MachineService;
     readonly waves?: leader.WavePort;
     readonly policy?: decisions.Policy;
-    /** Longest lease of what runs on a worker. */
+    /** Maximum duration of the lease under which tasks run on a worker. */
     readonly maxLeaseMs?: number;
-    /** How long rows of ended jobs stay. */
+    /** How long rows of ended jobs are kept. */
     readonly retentionMs?: number;
-    /** Whether nobody reaches the directory, neither workers nor instances. */
+    /** Whether the directory is unreachable for both workers and instances; by default it never is. */
     isDirectoryUnreachable?(): boolean;
-    /** How long a worker is down that a task has taken down. */
+    /** How long a worker stays down after a task has crashed it. */
     readonly workerRestartMs?: number;
-    /** Whether such a worker starts again under its id; by default none does. */
+    /** Whether a worker that a task has crashed restarts under the same id; by default it gets a new one. */
     restartsUnderSameId?(): boolean;
 }
 
+/** An emulated site. Instances are addressed by their number, from 0. */
 export interface Site {
     readonly store: stores.EmulatedStore;
-    readonly workers: workersInMemory.EmulatedWorkers;
-    /** Lets a job be asked for that is not handed in. */
+    readonly workers: emulatedWorkers.EmulatedWorkers;
+    /** Makes a job known to the emulator without submitting it, so that its state can be queried. */
     registerJob(job: jobModel.EmulatedJob): void;
+    /** Submits a job to an instance. */
     submit(job: jobModel.EmulatedJob, instance: number): Promise<intakes.IntakeReply>;
+    /** Cancels a registered or submitted job through an instance. */
     cancel(jobId: string, instance: number): Promise<intakes.IntakeReply>;
+    /** Queries the state of a registered or submitted job through an instance. */
     getState(jobId: string, instance: number): Promise<intakes.IntakeReply>;
+    /** Queries the number of waiting jobs of a queue through an instance. */
     countWaiting(queue: string, instance: number): Promise<intakes.IntakeReply>;
-    /** Puts a configuration in force at all instances. */
+    /** Applies a configuration on all instances. */
     applyCatalog(catalog: catalogs.Catalog): void;
-    /** The instance that leads, if one does. */
+    /** The number of the instance that leads, or `undefined` if none does. */
     getLeader(): number | undefined;
+    /** Whether the process of the instance runs. */
     isAlive(instance: number): boolean;
-    /** Ends an instance without a word. */
+    /** Ends the process of an instance; its peers see the closed connection. */
     kill(instance: number): void;
-    /** Ends a worker's life; another one begins at its address some seconds later, as a rule under another id. */
+    /** Crashes a worker; a successor starts at its address some seconds later, under a new id unless configured otherwise. */
     crashWorker(id: string): void;
-    /** Ends a worker's life; the next one begins under its id `afterMs` later. */
+    /** Ends a worker's incarnation; the next one starts under the same id `afterMs` later. */
     restartWorker(id: string, afterMs: number): void;
-    /** Ends an instance as a loss of power does: nobody is told. */
+    /** Ends an instance as a power failure does: no connection is closed, so its peers are not notified. */
     powerOff(instance: number): void;
-    /** Lets an instance stand still, and wake up in the middle of what it was doing. */
+    /** Pauses an instance for `ms`; `suspended` also stops its monotonic clock. */
     freeze(instance: number, ms: number, suspended: boolean): void;
-    /** Starts a killed instance again, as a new life. */
+    /** Starts a killed instance again, as a new incarnation. */
     restart(instance: number): void;
-    /** Stops an instance in good order. */
+    /** Shuts an instance down gracefully. */
     stop(instance: number): Promise<void>;
+    /** Ends all instances. */
     close(): void;
 }
 
@@ -79,21 +88,22 @@
 const DEFAULT_MAX_LEASE_MS = 6_000;
 const STOP_MS = 200;
 const HEARTBEAT_MS = 200;
-const CALLER_PATIENCE_MS = 3_000;
+const CALLER_TIMEOUT_MS = 3_000;
 const UPKEEP_MS = 2_000;
 const CONFIGURATION_MS = 2_000;
 const CAPACITY_MS = 4_500;
-const ROW_BYTES = 65_536;
+const MAX_ROW_BYTES = 65_536;
 const DEFAULT_RETENTION_MS = 600_000;
 const NO_ADVISER: leader.Adviser = {
-    advise: async () => ({ kind: "unavailable", message: "emulated: none" }),
+    advise: async () => ({ kind: "unavailable", message: "emulated: no adviser" }),
 };
 const NO_MACHINES: leader.MachineService = {
-    list: async () => ({ kind: "unavailable", message: "emulated: none" }),
-    beginUpkeep: async () => ({ kind: "unknown", message: "emulated: none" }),
+    list: async () => ({ kind: "unavailable", message: "emulated: no machine service" }),
+    beginUpkeep: async () => ({ kind: "unknown", message: "emulated: no machine service" }),
 };
 const NO_WAVES: leader.WavePort = { getIncomplete: () => [], reportState: async () => true };
 
+/** Creates a site and starts its instances. */
 export function createSite(options: SiteOptions): Site {
     const { clock: time } = options;
     const jobs = new Map<string, jobModel.EmulatedJob>();
@@ -104,7 +114,7 @@
         faults: options.storeFaults,
     });
     const maxLeaseMs = options.maxLeaseMs ?? DEFAULT_MAX_LEASE_MS;
-    const workers = workersInMemory.createEmulatedWorkers({
+    const workers = emulatedWorkers.createEmulatedWorkers({
         clock: time,
         latencyMs: WORKER_LATENCY_MS,
         maxLeaseMs,
@@ -124,7 +134,7 @@
         workers.kill(id, true);
         time.setTimer(afterMs, () => workers.restart(id));
     };
-    /** The worker is silent for some seconds, and then another life of it begins at its address. */
+    /** The worker is unreachable until it restarts, under its own id or as a successor at the same address. */
     const crashWorker = (id: string) => {
         if (options.restartsUnderSameId?.()) {
             restartWorker(id, options.workerRestartMs ?? WORKER_RESTART_MS);
@@ -143,35 +153,35 @@
         readonly controller: AbortController;
         readonly freezer: freezers.Freezer;
     }
-    let lives = 0;
-    let current = options.catalog;
-    const open = (number: number): Instance => {
+    let incarnationCount = 0;
+    let currentCatalog = options.catalog;
+    const startInstance = (number: number): Instance => {
         const controller = new AbortController();
         events.setMaxListeners(0, controller.signal);
         const freezer = freezers.createFreezer(time);
-        // Reports are as old by the instance's clock, which does not count its suspensions.
-        const toOwnTime = (worker: leader.ListedWorker): leader.ListedWorker => ({
+        // Preserves the age of a report on the instance's clock, which does not count its suspensions.
+        const toInstanceTime = (worker: leader.ListedWorker): leader.ListedWorker => ({
             ...worker,
             reportedAt: freezer.clock.now() - (time.now() - worker.reportedAt),
         });
         const isOther = (name: string) => name !== getInstanceName(number);
         const scheduler = schedulers.createScheduler({
             instance: getInstanceName(number),
-            incarnation: `life-${++lives}`,
+            incarnation: `life-${++incarnationCount}`,
             power: options.getPower?.(number) ?? 1,
             watchAddress: getInstanceName(number),
             peerAddress: getInstanceName(number),
-            watchProcess: (address, onGone) => {
+            watchProcess: (address, onExit) => {
                 const controller = instances.find((_, other) => getInstanceName(other) === address)?.controller;
-                const tell = () => {
-                    if (!silenced.has(address)) {
-                        time.setTimer(WORKER_LATENCY_MS, onGone);
+                const notifyExit = () => {
+                    if (!poweredOff.has(address)) {
+                        time.setTimer(WORKER_LATENCY_MS, onExit);
                     }
                 };
-                controller?.signal.addEventListener("abort", tell);
+                controller?.signal.addEventListener("abort", notifyExit);
                 return {
                     ...watchHeartbeats(address),
-                    end: () => controller?.signal.removeEventListener("abort", tell),
+                    end: () => controller?.signal.removeEventListener("abort", notifyExit),
                 };
             },
             handover: {
@@ -190,7 +200,7 @@
                 follow: (signal, onWorkers) =>
                     workers.directory.follow(signal, listed => {
                         if (!options.isDirectoryUnreachable?.()) {
-                            onWorkers(listed.map(toOwnTime));
+                            onWorkers(listed.map(toInstanceTime));
                         }
                     }),
             },
@@ -203,49 +213,49 @@
                 maxLeaseMs,
                 upkeepMs: UPKEEP_MS,
                 retentionMs: options.retentionMs ?? DEFAULT_RETENTION_MS,
-                rowBytes: ROW_BYTES,
+                rowBytes: MAX_ROW_BYTES,
                 configurationMs: CONFIGURATION_MS,
                 capacityMs: CAPACITY_MS,
             }),
-            // Its instances are told of each configuration without the store.
+            // `applyCatalog` updates the instances directly, so their configuration is never stale.
             getConfigurationAgeMs: () => 0,
             clock: freezer.clock,
             log: options.log,
             meter: options.meter,
             signal: controller.signal,
         });
-        scheduler.catalog.applyIfNewer(current);
+        scheduler.catalog.applyIfNewer(currentCatalog);
         return { scheduler, controller, freezer };
     };
-    /** Heartbeats of an instance, as long as its present life goes on. */
+    /** Watches the heartbeats of the instance's current incarnation. */
     const watchHeartbeats = (address: string) => {
         const watched = findAlive(address);
         let heartbeatAt = time.now();
-        const takeHeartbeat = () => {
+        const recordHeartbeat = () => {
             if (watched && !watched.controller.signal.aborted) {
                 heartbeatAt = watched.freezer.isFrozen() ? heartbeatAt : time.now();
-                time.setTimer(HEARTBEAT_MS, takeHeartbeat);
+                time.setTimer(HEARTBEAT_MS, recordHeartbeat);
             }
         };
-        takeHeartbeat();
+        recordHeartbeat();
         return { getHeartbeatAgeMs: () => time.now() - heartbeatAt };
     };
     const findAlive = (name: string) =>
         instances.find((instance, other) => getInstanceName(other) === name && !instance.controller.signal.aborted);
-    const silenced = new Set<string>();
+    const poweredOff = new Set<string>();
     const instances: Instance[] = [];
     for (let number = 0; number < options.instances; number++) {
-        instances.push(open(number));
+        instances.push(startInstance(number));
     }
-    const callerOf = (instance: number, queueName: string, account: string): intakes.Caller => ({
+    const createCaller = (instance: number, queueName: string, account: string): intakes.Caller => ({
         requestId: "",
         queue: instances[instance]!.scheduler.catalog.getQueue(queueName)!,
         account,
-        deadlineAt: instances[instance]!.freezer.clock.now() + CALLER_PATIENCE_MS,
+        deadlineAt: instances[instance]!.freezer.clock.now() + CALLER_TIMEOUT_MS,
     });
-    const callerOfJob = (instance: number, jobId: string) => {
+    const createCallerOfJob = (instance: number, jobId: string) => {
         const job = jobs.get(jobId)!;
-        return callerOf(instance, job.queue, job.account);
+        return createCaller(instance, job.queue, job.account);
     };
     return {
         store,
@@ -253,14 +263,20 @@
         registerJob: job => void jobs.set(job.jobId, job),
         submit: (job, instance) => {
             jobs.set(job.jobId, job);
-            return instances[instance]!.scheduler.intake.submit(callerOfJob(instance, job.jobId), job.jobId, job.spec);
+            return instances[instance]!.scheduler.intake.submit(
+                createCallerOfJob(instance, job.jobId),
+                job.jobId,
+                job.spec,
+            );
         },
-        cancel: (jobId, instance) => instances[instance]!.scheduler.intake.cancel(callerOfJob(instance, jobId), jobId),
+        cancel: (jobId, instance) =>
+            instances[instance]!.scheduler.intake.cancel(createCallerOfJob(instance, jobId), jobId),
         getState: (jobId, instance) =>
-            instances[instance]!.scheduler.intake.getState(callerOfJob(instance, jobId), jobId),
-        countWaiting: (queue, instance) => instances[instance]!.scheduler.intake.count(callerOf(instance, queue, "")),
+            instances[instance]!.scheduler.intake.getState(createCallerOfJob(instance, jobId), jobId),
+        countWaiting: (queue, instance) =>
+            instances[instance]!.scheduler.intake.count(createCaller(instance, queue, "")),
         applyCatalog: catalog => {
-            current = catalog;
+            currentCatalog = catalog;
             instances.forEach(instance => instance.scheduler.catalog.applyIfNewer(catalog));
         },
         getLeader: () => {
@@ -275,11 +291,11 @@
         restartWorker,
         freeze: (number, ms, suspended) => instances[number]!.freezer.freeze(ms, suspended),
         powerOff: number => {
-            silenced.add(getInstanceName(number));
+            poweredOff.add(getInstanceName(number));
             instances[number]!.controller.abort();
         },
         restart: number => {
-            instances[number] = open(number);
+            instances[number] = startInstance(number);
         },
         stop: async number => {
             await instances[number]!.scheduler.release();
@@ -291,11 +307,12 @@
 
 const NEXT_ID_SUFFIX = "-again";
 
-/** The id of the first worker at the address of that one, before crashes brought others. */
+/** Returns the id of the first worker at the same address, before crashes gave it successors. */
 export function getFirstWorkerId(id: string): string {
     return id.split(NEXT_ID_SUFFIX)[0]!;
 }
 
+/** Returns the name of an instance, which is also its address. */
 export function getInstanceName(number: number): string {
     return `instance-${number}`;
 }
--- a/src/emulator/startChecks.ts
+++ b/src/emulator/startChecks.ts
@@ -1,161 +1,184 @@
-/** What a scheduler must never start, as the emulated workers see it. */
+/** Checks each start on the emulated workers against the scheduler's invariants. */
 import * as decisions from "../decisions/index";
 import type * as work from "../work/index";
-import * as workerLife from "./workerIncarnation";
+import * as workerIncarnation from "./workerIncarnation";
 
+/** The start of a run on a worker. */
 export interface StartRecord {
     readonly task: string;
     readonly run: number;
     readonly workerId: string;
-    /** Of the worker's life on which it began. */
+    /** Incarnation of the worker on which the run started. */
     readonly incarnationId: string;
+    /** Time of the start. */
     readonly at: number;
 }
 
+/** Collects invariant violations of starts. */
 export interface StartChecks {
-    /** Breaches of promises, in words, but for `shrunkStarts`; empty when all were kept. */
+    /** Descriptions of invariant violations, apart from `startsAfterShrink`. */
     readonly violations: readonly string[];
-    /** Starts that were sent over a capacity that had shrunk long before: breaches, unless links had held them up. */
+    /** Starts that exceed a capacity which was reduced well before they were sent: violations, unless links delayed them. */
     readonly startsAfterShrink: readonly StartRecord[];
-    /** How many workers each task has taken down. */
+    /** Number of workers that each task has crashed. */
     readonly crashCounts: ReadonlyMap<string, number>;
-    checkStart(life: workerLife.Incarnation, model: workerLife.TaskModel, start: StartRecord, sentAt: number): void;
-    /** The run has ended under that number, as `done` or `failed`. */
-    noteEnd(life: workerLife.Incarnation, run: workerLife.Run, number: number, how: "done" | "failed"): void;
-    /** Ends up to this number are recorded. */
-    noteRecorded(life: workerLife.Incarnation, upTo: number): void;
-    noteCrash(task: string): void;
+    /** Checks a start that was sent at `sentAt` and has just been carried out. */
+    checkStart(
+        incarnation: workerIncarnation.Incarnation,
+        model: workerIncarnation.TaskModel,
+        start: StartRecord,
+        sentAt: number,
+    ): void;
+    /** Records that the run has ended; `number` is the number of its end. */
+    recordEnd(
+        incarnation: workerIncarnation.Incarnation,
+        run: workerIncarnation.Run,
+        number: number,
+        how: "done" | "failed",
+    ): void;
+    /** Records that the leader has recorded the ends up to this number. */
+    recordAcknowledgedEnds(incarnation: workerIncarnation.Incarnation, upTo: number): void;
+    /** Records that the task has crashed its worker. */
+    recordCrash(task: string): void;
 }
 
-/** A run that ended well or failed, and what became of it. */
+/** A run that completed or failed, and what followed. */
 interface EndedRun {
     readonly task: string;
     readonly run: number;
-    readonly life: workerLife.Incarnation;
+    readonly incarnation: workerIncarnation.Incarnation;
     readonly number: number;
     readonly maxAttempts: number | undefined;
+    /** Whether the leader has recorded the end while the worker's lease was valid. */
     recorded: boolean;
-    /** How often the task was started afterwards. */
+    /** Number of starts of the task since. */
     startsSince: number;
 }
 
-/** A capacity that has shrunk binds the starts that are sent this much later: contact and one heartbeat. */
-const SHRINK_GRACE_MS = 4_500;
-/** A task that takes its workers down is started fewer than `MOST_STARTS_AFTER` times more after so many crashes. */
-const CRASH_BUDGET = 3;
-const MOST_STARTS_AFTER = 3;
+/** Time after which starts must respect a reduced capacity: that of a reachability check and one heartbeat. */
+const CAPACITY_GRACE_MS = 4_500;
+/** Number of crashed workers after which the further starts of a task are limited. */
+const CRASH_LIMIT = 3;
+/** Number of further starts of such a task that is a violation. */
+const EXCESSIVE_STARTS = 3;
 
-export function createStartChecks(lives: ReadonlyMap<string, workerLife.Incarnation>): StartChecks {
-    const breaches: string[] = [];
-    const shrunkStarts: StartRecord[] = [];
+/** Creates the checks; `incarnations` has the current incarnation of each worker. */
+export function createStartChecks(incarnations: ReadonlyMap<string, workerIncarnation.Incarnation>): StartChecks {
+    const violations: string[] = [];
+    const startsAfterShrink: StartRecord[] = [];
     const crashCounts = new Map<string, number>();
     const startsAfterCrashes = new Map<string, number>();
-    const dones: EndedRun[] = [];
+    const completedRuns: EndedRun[] = [];
     /** Failed runs of each task, in order. */
-    const failures = new Map<string, EndedRun[]>();
+    const failedRuns = new Map<string, EndedRun[]>();
 
-    const noteBreachOf = (done: EndedRun) => {
-        if (done.recorded && done.startsSince > 0) {
-            breaches.push(`${done.task} is started again after run ${done.run} ended well`);
+    const reportRestart = (completedRun: EndedRun) => {
+        if (completedRun.recorded && completedRun.startsSince > 0) {
+            violations.push(`${completedRun.task} is started again after run ${completedRun.run} completed`);
         }
     };
-    const checkDone = (task: string) => {
-        for (const done of dones) {
-            if (done.task === task) {
-                // A breach only if that end counts: it is, or will be, recorded before its worker's lease lapses.
-                done.startsSince++;
-                noteBreachOf(done);
+    const checkCompletedRuns = (task: string) => {
+        for (const completedRun of completedRuns) {
+            if (completedRun.task === task) {
+                // A violation only if that end is recorded, now or later, before its worker's lease expires.
+                completedRun.startsSince++;
+                reportRestart(completedRun);
             }
         }
     };
-    const checkFailures = (task: string, maxAttempts: number | undefined) => {
-        const recorded = (failures.get(task) ?? []).filter(failure => failure.recorded && failure.startsSince > 0);
+    const checkAttempts = (task: string, maxAttempts: number | undefined) => {
+        const recorded = (failedRuns.get(task) ?? []).filter(failedRun =>
+            failedRun.recorded && failedRun.startsSince > 0
+        );
         if (maxAttempts !== undefined && recorded.length >= maxAttempts) {
-            breaches.push(`${task} is started again after ${recorded.length} failed runs`);
+            violations.push(`${task} is started again after ${recorded.length} failed runs`);
         }
     };
-    const checkTwice = (life: workerLife.Incarnation, { task, run }: StartRecord) => {
-        for (const other of lives.values()) {
-            if (other.alive && other !== life && other.runs.has(task)) {
-                breaches.push(`${task} run ${run} is started on ${life.info.id} while it runs on ${other.info.id}`);
+    const checkDuplicateRun = (incarnation: workerIncarnation.Incarnation, { task, run }: StartRecord) => {
+        for (const other of incarnations.values()) {
+            if (other.alive && other !== incarnation && other.runs.has(task)) {
+                violations.push(
+                    `${task} run ${run} is started on ${incarnation.info.id} while it runs on ${other.info.id}`,
+                );
             }
         }
     };
-    const checkCapacity = (life: workerLife.Incarnation, start: StartRecord, sentAt: number) => {
-        const sum: work.Resources = workerLife.sumNeeds(life);
-        if (decisions.fitsWithin(sum, workerLife.getCapacitySince(life, sentAt - SHRINK_GRACE_MS))) {
+    const checkCapacity = (incarnation: workerIncarnation.Incarnation, start: StartRecord, sentAt: number) => {
+        const used: work.Resources = workerIncarnation.getUsedResources(incarnation);
+        if (decisions.fitsWithin(used, workerIncarnation.getCapacitySince(incarnation, sentAt - CAPACITY_GRACE_MS))) {
             return;
         }
-        const fitted = life.earlierCapacities.some(({ capacity }) => decisions.fitsWithin(sum, capacity));
-        if (fitted) {
-            shrunkStarts.push(start);
+        const fittedBefore = incarnation.earlierCapacities.some(({ capacity }) => decisions.fitsWithin(used, capacity));
+        if (fittedBefore) {
+            startsAfterShrink.push(start);
             return;
         }
-        breaches.push(`${start.task} brings ${life.info.id} over its capacity`);
+        violations.push(`${start.task} exceeds the capacity of ${incarnation.info.id}`);
     };
-    const checkBudget = (task: string) => {
-        if ((crashCounts.get(task) ?? 0) < CRASH_BUDGET) {
+    const checkCrashLimit = (task: string) => {
+        if ((crashCounts.get(task) ?? 0) < CRASH_LIMIT) {
             return;
         }
         const count = (startsAfterCrashes.get(task) ?? 0) + 1;
         startsAfterCrashes.set(task, count);
-        if (count === MOST_STARTS_AFTER) {
-            breaches.push(`${task} is started ${count} times more after ${CRASH_BUDGET} workers crashed under it`);
+        if (count === EXCESSIVE_STARTS) {
+            violations.push(`${task} is started ${count} more times after it crashed ${CRASH_LIMIT} workers`);
         }
     };
     return {
-        violations: breaches,
-        startsAfterShrink: shrunkStarts,
+        violations,
+        startsAfterShrink,
         crashCounts,
-        checkStart: (life, model, start, sentAt) => {
-            checkDone(start.task);
-            for (const failure of failures.get(start.task) ?? []) {
-                failure.startsSince++;
+        checkStart: (incarnation, model, start, sentAt) => {
+            checkCompletedRuns(start.task);
+            for (const failedRun of failedRuns.get(start.task) ?? []) {
+                failedRun.startsSince++;
             }
-            checkFailures(start.task, model.maxAttempts);
-            checkTwice(life, start);
-            checkCapacity(life, start, sentAt);
+            checkAttempts(start.task, model.maxAttempts);
+            checkDuplicateRun(incarnation, start);
+            checkCapacity(incarnation, start, sentAt);
             if (model.crashesAfterMs !== undefined) {
-                checkBudget(start.task);
+                checkCrashLimit(start.task);
             }
         },
-        noteEnd: (life, run, number, how) => {
+        recordEnd: (incarnation, run, number, how) => {
             const ended = {
                 task: run.task,
                 run: run.run,
-                life,
+                incarnation,
                 number,
                 recorded: false,
                 startsSince: 0,
                 maxAttempts: run.model.maxAttempts,
             };
             if (how === "done") {
-                dones.push(ended);
+                completedRuns.push(ended);
                 return;
             }
-            failures.set(run.task, [...failures.get(run.task) ?? [], ended]);
+            failedRuns.set(run.task, [...failedRuns.get(run.task) ?? [], ended]);
         },
-        noteRecorded: (life, upTo) => {
+        recordAcknowledgedEnds: (incarnation, upTo) => {
             const isRecordedNow = (ended: EndedRun) =>
-                !ended.recorded && ended.life === life && ended.number <= upTo && !(life.lapsedEnd >= ended.number);
-            for (const done of dones.filter(isRecordedNow)) {
-                done.recorded = true;
-                noteBreachOf(done);
+                !ended.recorded && ended.incarnation === incarnation && ended.number <= upTo
+                && !(incarnation.lastExpiredEnd >= ended.number);
+            for (const completedRun of completedRuns.filter(isRecordedNow)) {
+                completedRun.recorded = true;
+                reportRestart(completedRun);
             }
-            for (const ended of failures.values()) {
-                for (const failure of ended.filter(isRecordedNow)) {
-                    failure.recorded = true;
-                    checkFailures(failure.task, failure.maxAttempts);
+            for (const ended of failedRuns.values()) {
+                for (const failedRun of ended.filter(isRecordedNow)) {
+                    failedRun.recorded = true;
+                    checkAttempts(failedRun.task, failedRun.maxAttempts);
                 }
             }
         },
-        noteCrash: task => {
+        recordCrash: task => {
             crashCounts.set(task, (crashCounts.get(task) ?? 0) + 1);
         },
     };
 }
 
-/** Of a start over a capacity that had shrunk, in words. */
-export function describeShrunkStart({ task, workerId }: StartRecord): string {
-    return `${task} brings ${workerId} over its capacity, which had shrunk`;
+/** Describes a start that exceeds a reduced capacity. */
+export function describeStartAfterShrink({ task, workerId }: StartRecord): string {
+    return `${task} exceeds the reduced capacity of ${workerId}`;
 }
--- a/src/emulator/store.ts
+++ b/src/emulator/store.ts
@@ -1,64 +1,71 @@
-/** A row store in memory with the semantics of the port, and with faults that a test or an experiment injects. */
+/** In-memory row store with the semantics of `rows.RowStore` and faults that a test or an experiment injects. */
 import type * as clock from "../clock/index";
 import type * as rows from "../rows/index";
 
-/** What becomes of a call. */
+/** Fault injected into a call. */
 export type StoreFault =
     | "none"
-    /** Turned away; nothing was done. */
+    /** The call is rejected without effect. */
     | "refuse"
-    /** Carried out, and the answer is lost. */
+    /** The call is carried out and its answer is lost. */
     | "loseAnswer"
-    /** Not carried out now, but `lateMs` later if its conditions hold then; no answer. */
+    /** The call is carried out `lateMs` later if its conditions hold then, and no answer is sent. */
     | "late"
-    /** Never reaches the store, and no answer comes. */
+    /** The call does not reach the store, and no answer is sent. */
     | "silent";
 
+/** Faults of the store. */
 export interface StoreFaults {
-    /** `caller` is the name under which the view of the store was opened. */
+    /** Returns the fault for a call; `caller` is the name that was passed to `open`. */
     decide(caller: string, call: "transact" | "read" | "feed"): StoreFault;
+    /** Delay of the fault `late`. */
     readonly lateMs: number;
-    /** How many times slower than usual the store is; by default it is not. */
+    /** Factor by which latencies and transactions take longer than usual; 1 by default. */
     getSlowdown?(): number;
 }
 
+/** Configuration of the emulated store. */
 export interface EmulatedStoreOptions {
     readonly clock: clock.Clock;
-    /** From a call to its answer. */
+    /** Time from a call to its answer. */
     readonly latencyMs: number;
     /**
-     * How long a transaction holds its part, which takes one after another, as many times longer as the store is slower; by
-     * default parts are never busy.
+     * How long a transaction occupies its part, multiplied by the slowdown. A part carries out one transaction at a time;
+     * by default parts are never busy.
      */
     readonly partBusyMs?: number;
     readonly faults?: StoreFaults;
 }
 
+/** A store and the means to change its rows directly. */
 export interface EmulatedStore {
-    /** The store as one caller sees it. */
+    /** Returns the store for one caller, whose name is passed to `StoreFaults.decide`. */
     open(caller: string): rows.RowStore;
-    /** Writes a row as the operator or a worker would. */
+    /** Writes a row unconditionally, as the operator or a worker would. */
     put(row: rows.RowPut): void;
+    /** Removes a row unconditionally. */
     remove(row: rows.RowKey): void;
+    /** Returns the rows of a table, sorted by key. */
     getRows(table: string): readonly rows.Row[];
-    /** Forgets the history: who follows has to read anew. */
+    /** Discards the change history, so that followers of a feed get a gap and must read the table again. */
     discardHistory(): void;
 }
 
 const NO_FAULTS: StoreFaults = { decide: () => "none", lateMs: 0 };
-const PAGE_ROWS = 500;
-/** A part for which more than this is waiting turns calls away. */
-const MOST_PART_WAIT_MS = 1_000;
+const MAX_PAGE_ROWS = 500;
+/** A part rejects calls that would have to wait longer. */
+const MAX_PART_WAIT_MS = 1_000;
 
+/** Creates an empty store. */
 export function createEmulatedStore(options: EmulatedStoreOptions): EmulatedStore {
     const { clock: time } = options;
     const faults = options.faults ?? NO_FAULTS;
-    const present = new Map<string, rows.Row>();
+    const rowsById = new Map<string, rows.Row>();
     let history: rows.RowChange[] = [];
-    let forgottenUpTo = 0;
+    let discardedUpTo = 0;
     let version = 0;
     const waiters = new Set<() => void>();
-    /** When each part has carried out all that it has taken. */
+    /** Time at which each part will have carried out its accepted transactions. */
     const busyUntil = new Map<string, number>();
     const getLatencyMs = () => options.latencyMs * (faults.getSlowdown?.() ?? 1);
 
@@ -66,26 +73,26 @@
         version++;
         for (const put of puts) {
             const row = { ...put, version };
-            present.set(getId(put), row);
+            rowsById.set(getRowId(put), row);
             history.push({ ...row, removed: false });
         }
         for (const key of removals) {
-            present.delete(getId(key));
+            rowsById.delete(getRowId(key));
             history.push({ ...key, value: "", version, removed: true });
         }
         [...waiters].forEach(wake => wake());
     };
     const apply = (tx: rows.RowTransaction): rows.TransactResult => {
-        const holds = tx.conditions.every(row => (present.get(getId(row))?.version ?? 0) === row.version);
+        const holds = tx.conditions.every(row => (rowsById.get(getRowId(row))?.version ?? 0) === row.version);
         if (!holds) {
-            const current = tx.conditions.map(row => present.get(getId(row))).filter(row => row !== undefined);
+            const current = tx.conditions.map(row => rowsById.get(getRowId(row))).filter(row => row !== undefined);
             return { kind: "conflict", rows: current };
         }
         write(tx.puts, tx.removals);
         return { kind: "committed", version };
     };
     const list = (table: string, part?: string) =>
-        [...present.values()]
+        [...rowsById.values()]
             .filter(row => row.table === table && (part === undefined || row.part === part))
             .sort((a, b) => a.key < b.key ? -1 : 1);
 
@@ -93,7 +100,7 @@
         const fault = faults.decide(caller, "transact");
         const unknown: rows.TransactResult = { kind: "unknown", message: `emulated: ${fault}` };
         if (fault === "none") {
-            return transactInTurn(tx, timeoutMs);
+            return transactOnPart(tx, timeoutMs);
         }
         await time.sleep(getLatencyMs());
         switch (fault) {
@@ -112,24 +119,24 @@
                 return unknown;
         }
     };
-    /** One transaction of a part after another; a caller that gives up does not take its call back. */
-    const transactInTurn = async (tx: rows.RowTransaction, timeoutMs: number): Promise<rows.TransactResult> => {
-        const partMs = (options.partBusyMs ?? 0) * (faults.getSlowdown?.() ?? 1);
+    /** Carries out the transactions of a part one at a time; a call that times out is still carried out. */
+    const transactOnPart = async (tx: rows.RowTransaction, timeoutMs: number): Promise<rows.TransactResult> => {
+        const busyMs = (options.partBusyMs ?? 0) * (faults.getSlowdown?.() ?? 1);
         const [first] = [...tx.puts, ...tx.removals, ...tx.conditions];
         const now = time.now();
-        const turnAt = Math.max(now, busyUntil.get(first?.part ?? "") ?? 0);
-        if (partMs > 0 && turnAt - now > MOST_PART_WAIT_MS) {
+        const startAt = Math.max(now, busyUntil.get(first?.part ?? "") ?? 0);
+        if (busyMs > 0 && startAt - now > MAX_PART_WAIT_MS) {
             await time.sleep(getLatencyMs());
-            return { kind: "refused", message: "emulated: too many calls on this part" };
+            return { kind: "refused", message: "emulated: too many transactions are waiting for this part" };
         }
-        busyUntil.set(first?.part ?? "", turnAt + partMs);
-        const takesMs = turnAt + partMs - now + getLatencyMs();
-        if (takesMs > timeoutMs) {
-            time.setTimer(takesMs, () => void apply(tx));
+        busyUntil.set(first?.part ?? "", startAt + busyMs);
+        const durationMs = startAt + busyMs - now + getLatencyMs();
+        if (durationMs > timeoutMs) {
+            time.setTimer(durationMs, () => void apply(tx));
             await time.sleep(timeoutMs);
             return { kind: "unknown", message: "emulated: no answer in time" };
         }
-        await time.sleep(takesMs);
+        await time.sleep(durationMs);
         return apply(tx);
     };
     const read = async (caller: string, range: rows.RowRange, timeoutMs: number): Promise<rows.ReadResult> => {
@@ -142,7 +149,7 @@
         if (latencyMs > timeoutMs) {
             return { kind: "unavailable", message: "emulated: no answer in time" };
         }
-        const limit = Math.min(PAGE_ROWS, range.limit ?? PAGE_ROWS);
+        const limit = Math.min(MAX_PAGE_ROWS, range.limit ?? MAX_PAGE_ROWS);
         const all = list(range.table, range.part).filter(row =>
             (range.from === undefined || row.key >= range.from)
             && (range.before === undefined || row.key < range.before)
@@ -163,12 +170,12 @@
         await time.sleep(getLatencyMs());
         const until = time.now() + waitMs;
         for (;;) {
-            if (after < forgottenUpTo) {
+            if (after < discardedUpTo) {
                 return { kind: "gap" };
             }
             const changes = history.slice(findFirstAfter(history, after)).filter(row => row.table === table);
-            if (changes.length > PAGE_ROWS) {
-                return endPage(changes.slice(0, PAGE_ROWS), changes[PAGE_ROWS]!.version);
+            if (changes.length > MAX_PAGE_ROWS) {
+                return toCompletePage(changes.slice(0, MAX_PAGE_ROWS), changes[MAX_PAGE_ROWS]!.version);
             }
             if (changes.length > 0 || time.now() >= until) {
                 return { kind: "changes", rows: changes, version };
@@ -176,10 +183,10 @@
             await waitForChange(until - time.now());
         }
     };
-    /** Ends with the last whole transaction, so that whoever goes on from its version misses nothing. */
-    const endPage = (page: readonly rows.RowChange[], nextVersion: number): rows.FeedResult => {
-        const whole = page.at(-1)!.version < nextVersion ? page : page.filter(row => row.version < nextVersion);
-        return { kind: "changes", rows: whole, version: whole.at(-1)!.version };
+    /** Cuts the page after the last complete transaction, so that a feed that continues from its version misses nothing. */
+    const toCompletePage = (page: readonly rows.RowChange[], nextVersion: number): rows.FeedResult => {
+        const complete = page.at(-1)!.version < nextVersion ? page : page.filter(row => row.version < nextVersion);
+        return { kind: "changes", rows: complete, version: complete.at(-1)!.version };
     };
     const waitForChange = (ms: number) =>
         new Promise<void>(resolve => {
@@ -203,13 +210,13 @@
         getRows: table => list(table),
         discardHistory: () => {
             history = [];
-            forgottenUpTo = version + 1;
+            discardedUpTo = version + 1;
             version++;
         },
     };
 }
 
-/** Position of the first change with a higher version. */
+/** Returns the index of the first change with a higher version. */
 function findFirstAfter(history: readonly rows.RowChange[], version: number): number {
     let low = 0;
     let high = history.length;
@@ -225,6 +232,6 @@
     return low;
 }
 
-function getId(row: rows.RowKey): string {
+function getRowId(row: rows.RowKey): string {
     return `${row.table}\n${row.part}\n${row.key}`;
 }
--- a/src/emulator/workerIncarnation.ts
+++ b/src/emulator/workerIncarnation.ts
@@ -1,89 +1,101 @@
-/** What runs on an emulated worker, and how fast. */
+/** State of one incarnation of an emulated worker: its runs, their progress and the resources that they use. */
 import type * as leader from "../leader/index";
 import type * as work from "../work/index";
 
-/** How often a task saves what it has done. */
-export const SAVE_EVERY_MS = 1_000;
+/** Interval at which a task saves a checkpoint. */
+export const CHECKPOINT_INTERVAL_MS = 1_000;
 
-/** What an emulated task really does. */
+/** Actual behaviour of an emulated task. */
 export interface TaskModel {
+    /** Resources that the task takes on its worker. */
     readonly needs: work.Resources;
+    /** Duration on a worker of usual speed; `Infinity` for a lasting task. */
     readonly durationMs: number;
-    /** Members of its gang; 1: none. */
+    /** Number of members of its gang; 1 for a task without a gang. */
     readonly gangSize: number;
-    /** Names its gang, the same for all members. */
+    /** Name of its gang, the same for all members. */
     readonly gang: string;
+    /** Whether the task saves checkpoints from which a later run resumes. */
     readonly checkpoints: boolean;
-    /** A gang that works several times slower on more than one rack. */
+    /** Whether its gang is several times slower on more than one rack. */
     readonly sameRack: boolean;
-    /** Work is several times slower on another rack. */
+    /** Rack of its data, on any other of which it is several times slower; `undefined` if the rack does not matter. */
     readonly dataRack: string | undefined;
-    /** Takes its worker down this long after it starts there; `undefined`: does not. */
+    /** Time from the start until the task crashes its worker; `undefined` if it does not. */
     readonly crashesAfterMs: number | undefined;
-    /** The task is not started again after so many failed runs; `undefined`: there is no such bound. */
+    /** Number of failed runs after which the task must not be started again; `undefined` if there is no such bound. */
     readonly maxAttempts: number | undefined;
-    /** Whether the run fails at its end. */
+    /** Whether the run of that number fails at its end. */
     fails(run: number): boolean;
 }
 
+/** A run of a task on a worker. Times are those of the emulator's clock. */
 export interface Run {
     readonly task: string;
     readonly run: number;
     readonly model: TaskModel;
     readonly startedAt: number;
-    /** Work done, in milliseconds of the model's duration. */
+    /** Completed part of the model's duration. */
     doneMs: number;
-    stoppingAt: number | undefined;
-    /** Started on a worker on which everything fails. */
-    readonly failsSoon: boolean;
+    /** Time at which an ordered stop takes effect; `undefined` while no stop is ordered. */
+    stopsAt: number | undefined;
+    /** Whether it fails at once, having started on a worker on which every run fails. */
+    readonly failsEarly: boolean;
 }
 
+/** One run of a worker process. Times are those of the emulator's clock, unless stated otherwise. */
 export interface Incarnation {
     info: leader.WorkerInfo;
-    /** On the wall clock, as the worker tells it. */
-    readonly bornAt: number;
-    /** Our time at which its clock showed 0. */
-    readonly clockZeroAt: number;
-    /** What the directory has of it, and since when. */
+    /** Wall-clock time at which the process started, as the worker reports it. */
+    readonly startedAt: number;
+    /** Time at which the worker's monotonic clock showed 0. */
+    readonly clockStartedAt: number;
+    /** The worker's latest report to the directory, and when it was made. */
     report: { readonly info: leader.WorkerInfo; readonly at: number; };
     alive: boolean;
+    /** Whether the directory lists it. */
     listed: boolean;
-    fence: number;
-    /** Our time at which its lease runs out. */
-    deadline: number;
+    /** Highest fencing token of the orders so far. */
+    fencingToken: number;
+    /** Time at which the lease of its runs expires. */
+    leaseExpiresAt: number;
     readonly runs: Map<string, Run>;
-    /** Highest run stopped or ended of each task. */
-    readonly closedRuns: Map<string, number>;
+    /** Highest run number of each task that has ended or was ordered to stop. */
+    readonly latestClosedRuns: Map<string, number>;
+    /** Ends of runs that the leader has not recorded yet. */
     ends: leader.TaskEnd[];
-    nextEnd: number;
+    nextEndNumber: number;
+    /** Wakes the polls that wait for an end. */
     readonly waiters: Set<() => void>;
-    /** Ends up to this number were listed when the worker's lease lapsed last. */
-    lapsedEnd: number;
-    /** Capacities that it had before, each with the time at which it was changed. */
-    readonly earlierCapacities: Array<{ readonly capacity: work.Resources; readonly until: number; }>;
-    /** Another life has begun at its address. */
+    /** Number of the last end at the latest time at which the lease was expired. */
+    lastExpiredEnd: number;
+    /** Previous capacities, each with the time at which it was replaced. */
+    readonly earlierCapacities: Array<{ readonly capacity: work.Resources; readonly changedAt: number; }>;
+    /** Whether another worker has started at its address. */
     hasSuccessor: boolean;
 }
 
-/** What the life's clock shows at our time `now`. */
-export function readClock(life: Incarnation, now: number): number {
-    return now - life.clockZeroAt;
+/** Returns the reading of the worker's monotonic clock at the time `now`. */
+export function readClock(incarnation: Incarnation, now: number): number {
+    return now - incarnation.clockStartedAt;
 }
 
-/** The capacity that starts may still count on: the largest since that time, in each dimension. */
-export function getCapacitySince(life: Incarnation, since: number): work.Resources {
-    const counted = life.earlierCapacities.filter(entry => entry.until >= since).map(entry => entry.capacity);
-    return [life.info.capacity, ...counted].reduce((largest, capacity) => ({
+/** Returns the maximum capacity since that time, in each dimension. */
+export function getCapacitySince(incarnation: Incarnation, since: number): work.Resources {
+    const counted = incarnation.earlierCapacities.filter(entry => entry.changedAt >= since).map(entry =>
+        entry.capacity
+    );
+    return [incarnation.info.capacity, ...counted].reduce((largest, capacity) => ({
         cpuMillis: Math.max(largest.cpuMillis, capacity.cpuMillis),
         memoryMb: Math.max(largest.memoryMb, capacity.memoryMb),
         accelerators: Math.max(largest.accelerators, capacity.accelerators),
     }));
 }
 
-/** What its tasks take of a worker's capacity. */
-export function sumNeeds(life: Incarnation): work.Resources {
+/** Returns the resources that the worker's tasks use. */
+export function getUsedResources(incarnation: Incarnation): work.Resources {
     const sum = { cpuMillis: 0, memoryMb: 0, accelerators: 0 };
-    for (const running of life.runs.values()) {
+    for (const running of incarnation.runs.values()) {
         sum.cpuMillis += running.model.needs.cpuMillis;
         sum.memoryMb += running.model.needs.memoryMb;
         sum.accelerators += running.model.needs.accelerators;
@@ -91,13 +103,13 @@
     return sum;
 }
 
-/** How many times slower a run is for being far from its data, or its gang for lying on more than one rack. */
-export function getFarFactor(run: Run, life: Incarnation, gang: readonly Incarnation[]): number {
+/** Returns how many times slower a run is because its data is on another rack or its gang spans several racks. */
+export function getDistanceFactor(run: Run, incarnation: Incarnation, gang: readonly Incarnation[]): number {
     const racks = new Set(gang.map(member => member.info.rack));
-    const isFar = (run.model.sameRack && racks.size > 1)
-        || (run.model.dataRack !== undefined && run.model.dataRack !== life.info.rack);
-    return isFar ? FAR_FACTOR : 1;
+    const isRemote = (run.model.sameRack && racks.size > 1)
+        || (run.model.dataRack !== undefined && run.model.dataRack !== incarnation.info.rack);
+    return isRemote ? REMOTE_FACTOR : 1;
 }
 
-/** As on the users' sheets. */
-const FAR_FACTOR = 3;
+/** Slowdown as stated by the users. */
+const REMOTE_FACTOR = 3;
--- a/src/emulator/workerOrders.ts
+++ b/src/emulator/workerOrders.ts
@@ -1,174 +1,210 @@
-/** Orders to emulated workers, as their port carries them out: fencing tokens, run numbers, leases, and faults. */
+/** Worker port of the emulated workers: handles orders by fencing tokens, run numbers and leases, and injects faults. */
 import type * as clock from "../clock/index";
 import type * as leader from "../leader/index";
 import type * as startChecks from "./startChecks";
-import * as workerLife from "./workerIncarnation";
+import * as workerIncarnation from "./workerIncarnation";
 
+/** Fault injected into an order or a poll. */
 export type OrderFault =
     | "none"
-    /** Carried out, and the answer is lost. */
+    /** The order is carried out and its answer is lost. */
     | "loseAnswer"
-    /** Carried out `lateMs` later; no answer. */
+    /** The order is carried out `lateMs` later, and no answer is sent. */
     | "late"
-    /** The worker cannot be reached. */
+    /** The worker is unreachable. */
     | "cut"
-    /** The worker says that it is unwell, and does nothing. */
+    /** The worker answers that it is unwell, and does nothing. */
     | "unwell";
 
+/** Faults of emulated workers. */
 export interface WorkerFaults {
+    /** Returns the fault for a call; "look" is a poll. */
     decide(workerId: string, call: "start" | "stop" | "look" | "pace"): OrderFault;
+    /** Delay of the fault `late`. */
     readonly lateMs: number;
-    /** How many times slower than usual the worker's tasks are; `Infinity`: they stand still. */
+    /** Factor by which the worker's tasks take longer than usual; with `Infinity` they make no progress. */
     getSlowdown(workerId: string): number;
-    /** Whether what is started there now fails a moment later; by default nothing does. */
+    /** Whether a run that starts on the worker now fails at once; by default none does. */
     isFailing?(workerId: string): boolean;
 }
 
+/** Configuration of the worker port. */
 export interface WorkerPortOptions {
     readonly clock: clock.Clock;
+    /** Time from a call until it reaches the worker. */
     readonly latencyMs: number;
     readonly maxLeaseMs: number;
+    /** Time from a stop order to the end of the run. */
     readonly stopMs: number;
     readonly faults: WorkerFaults;
-    readonly lives: ReadonlyMap<string, workerLife.Incarnation>;
+    /** Current incarnation of each worker, by worker id. */
+    readonly incarnations: ReadonlyMap<string, workerIncarnation.Incarnation>;
     readonly checks: startChecks.StartChecks;
-    getModel(task: string): workerLife.TaskModel;
-    /** A run has begun; returns the record of its start. */
-    onStart(life: workerLife.Incarnation, run: workerLife.Run): startChecks.StartRecord;
+    getModel(task: string): workerIncarnation.TaskModel;
+    /** Called when a run has begun; returns the record of its start. */
+    onStart(incarnation: workerIncarnation.Incarnation, run: workerIncarnation.Run): startChecks.StartRecord;
 }
 
-/** The port of all emulated workers together. */
+/** Creates the port to all emulated workers. */
 export function createWorkerPort(options: WorkerPortOptions): leader.WorkerPort {
-    const { clock: time, faults, lives, checks } = options;
+    const { clock: time, faults, incarnations, checks } = options;
 
-    const start = (life: workerLife.Incarnation, order: leader.StartOrder, sentAt: number): leader.OrderAnswer => {
-        const refusal = checkFence(life, order.fencingToken);
+    const start = (
+        incarnation: workerIncarnation.Incarnation,
+        order: leader.StartOrder,
+        sentAt: number,
+    ): leader.OrderAnswer => {
+        const refusal = checkFence(incarnation, order.fencingToken);
         if (refusal) {
             return refusal;
         }
-        const present = life.runs.get(order.task);
-        if (present?.run === order.run) {
-            return { kind: "accepted", workerClock: workerLife.readClock(life, time.now()) };
+        const current = incarnation.runs.get(order.task);
+        if (current?.run === order.run) {
+            return { kind: "accepted", workerClock: workerIncarnation.readClock(incarnation, time.now()) };
         }
-        if (present || order.run <= (life.closedRuns.get(order.task) ?? 0)) {
-            return { kind: "refused", reason: "old", workerClock: workerLife.readClock(life, time.now()) };
+        if (current || order.run <= (incarnation.latestClosedRuns.get(order.task) ?? 0)) {
+            return {
+                kind: "refused",
+                reason: "old",
+                workerClock: workerIncarnation.readClock(incarnation, time.now()),
+            };
         }
-        if (order.deadline <= workerLife.readClock(life, time.now())) {
-            return { kind: "refused", reason: "late", workerClock: workerLife.readClock(life, time.now()) };
+        if (order.deadline <= workerIncarnation.readClock(incarnation, time.now())) {
+            return {
+                kind: "refused",
+                reason: "late",
+                workerClock: workerIncarnation.readClock(incarnation, time.now()),
+            };
         }
-        prolong(life, order.deadline);
+        extendLease(incarnation, order.deadline);
         const model = options.getModel(order.task);
         const resumedMs = Number(order.saved) || 0;
-        const run: workerLife.Run = {
+        const run: workerIncarnation.Run = {
             task: order.task,
             run: order.run,
             model,
             startedAt: time.now(),
             doneMs: resumedMs,
-            stoppingAt: undefined,
-            failsSoon: faults.isFailing?.(life.info.id) ?? false,
+            stopsAt: undefined,
+            failsEarly: faults.isFailing?.(incarnation.info.id) ?? false,
         };
-        life.runs.set(order.task, run);
-        checks.checkStart(life, model, options.onStart(life, run), sentAt);
-        return { kind: "accepted", workerClock: workerLife.readClock(life, time.now()) };
+        incarnation.runs.set(order.task, run);
+        checks.checkStart(incarnation, model, options.onStart(incarnation, run), sentAt);
+        return { kind: "accepted", workerClock: workerIncarnation.readClock(incarnation, time.now()) };
     };
-    const stop = (life: workerLife.Incarnation, order: leader.RunOrder): leader.OrderAnswer => {
-        const refusal = checkFence(life, order.fencingToken);
+    const stop = (incarnation: workerIncarnation.Incarnation, order: leader.RunOrder): leader.OrderAnswer => {
+        const refusal = checkFence(incarnation, order.fencingToken);
         if (refusal) {
             return refusal;
         }
-        const run = life.runs.get(order.task);
+        const run = incarnation.runs.get(order.task);
         if (run && run.run <= order.run) {
-            run.stoppingAt ??= time.now() + options.stopMs;
+            run.stopsAt ??= time.now() + options.stopMs;
         }
-        life.closedRuns.set(order.task, Math.max(order.run, life.closedRuns.get(order.task) ?? 0));
-        return { kind: "accepted", workerClock: workerLife.readClock(life, time.now()) };
+        incarnation.latestClosedRuns.set(
+            order.task,
+            Math.max(order.run, incarnation.latestClosedRuns.get(order.task) ?? 0),
+        );
+        return { kind: "accepted", workerClock: workerIncarnation.readClock(incarnation, time.now()) };
     };
-    const checkFence = (life: workerLife.Incarnation, token: number): leader.OrderAnswer | undefined => {
-        if (token < life.fence) {
-            return { kind: "refused", reason: "fence", workerClock: workerLife.readClock(life, time.now()) };
+    const checkFence = (incarnation: workerIncarnation.Incarnation, token: number): leader.OrderAnswer | undefined => {
+        if (token < incarnation.fencingToken) {
+            return {
+                kind: "refused",
+                reason: "fence",
+                workerClock: workerIncarnation.readClock(incarnation, time.now()),
+            };
         }
-        life.fence = token;
+        incarnation.fencingToken = token;
         return undefined;
     };
-    const prolong = (life: workerLife.Incarnation, deadline: number) => {
-        const until = deadline + life.clockZeroAt;
-        life.deadline = Math.max(life.deadline, Math.min(until, time.now() + options.maxLeaseMs));
+    const extendLease = (incarnation: workerIncarnation.Incarnation, deadline: number) => {
+        const expiresAt = deadline + incarnation.clockStartedAt;
+        incarnation.leaseExpiresAt = Math.max(
+            incarnation.leaseExpiresAt,
+            Math.min(expiresAt, time.now() + options.maxLeaseMs),
+        );
     };
-    const look = async (life: workerLife.Incarnation, order: leader.PollOrder): Promise<leader.PollAnswer> => {
-        const refusal = checkFence(life, order.fencingToken);
+    const poll = async (
+        incarnation: workerIncarnation.Incarnation,
+        order: leader.PollOrder,
+    ): Promise<leader.PollAnswer> => {
+        const refusal = checkFence(incarnation, order.fencingToken);
         if (refusal) {
             return refusal as leader.PollAnswer;
         }
         if (order.deadline !== undefined) {
-            prolong(life, order.deadline);
+            extendLease(incarnation, order.deadline);
         }
-        checks.noteRecorded(life, order.recordedUpTo);
-        life.ends = life.ends.filter(entry => entry.number > order.recordedUpTo);
-        if (life.ends.length === 0 && order.waitMs > 0) {
-            await waitForEnd(life, order.waitMs);
+        checks.recordAcknowledgedEnds(incarnation, order.recordedUpTo);
+        incarnation.ends = incarnation.ends.filter(entry => entry.number > order.recordedUpTo);
+        if (incarnation.ends.length === 0 && order.waitMs > 0) {
+            await waitForEnd(incarnation, order.waitMs);
         }
         return {
             kind: "lists",
-            workerClock: workerLife.readClock(life, time.now()),
-            startedAt: life.bornAt,
-            running: [...life.runs.values()].map(run => ({
+            workerClock: workerIncarnation.readClock(incarnation, time.now()),
+            startedAt: incarnation.startedAt,
+            running: [...incarnation.runs.values()].map(run => ({
                 task: run.task,
                 run: run.run,
-                saved: run.model.checkpoints && run.doneMs >= workerLife.SAVE_EVERY_MS
-                    ? String(Math.floor(run.doneMs / workerLife.SAVE_EVERY_MS) * workerLife.SAVE_EVERY_MS)
+                saved: run.model.checkpoints && run.doneMs >= workerIncarnation.CHECKPOINT_INTERVAL_MS
+                    ? String(
+                        Math.floor(run.doneMs / workerIncarnation.CHECKPOINT_INTERVAL_MS)
+                            * workerIncarnation.CHECKPOINT_INTERVAL_MS,
+                    )
                     : "",
                 percent: Math.floor(100 * run.doneMs / run.model.durationMs),
                 recentFigure: 0,
             })),
-            ended: [...life.ends],
+            ended: [...incarnation.ends],
         };
     };
-    const waitForEnd = (life: workerLife.Incarnation, ms: number) =>
+    const waitForEnd = (incarnation: workerIncarnation.Incarnation, ms: number) =>
         new Promise<void>(resolve => {
             const finish = () => {
                 cancel();
-                life.waiters.delete(finish);
+                incarnation.waiters.delete(finish);
                 resolve();
             };
             const cancel = time.setTimer(ms, finish);
-            life.waiters.add(finish);
+            incarnation.waiters.add(finish);
         });
 
     const call = async <T extends leader.OrderAnswer | leader.PollAnswer>(
         worker: leader.WorkerAddress,
         kind: "start" | "stop" | "look" | "pace",
         timeoutMs: number,
-        carryOut: (life: workerLife.Incarnation) => T | Promise<T>,
+        handle: (incarnation: workerIncarnation.Incarnation) => T | Promise<T>,
     ): Promise<T | leader.OrderAnswer> => {
         const fault = faults.decide(worker.name, kind);
         await time.sleep(options.latencyMs);
-        const life = lives.get(worker.name);
-        if (life?.hasSuccessor && fault !== "cut") {
+        const incarnation = incarnations.get(worker.name);
+        if (incarnation?.hasSuccessor && fault !== "cut") {
             return { kind: "otherLife" };
         }
-        if (!life?.alive || fault === "cut") {
+        if (!incarnation?.alive || fault === "cut") {
             await time.sleep(timeoutMs);
-            return { kind: "unknown", message: "emulated: silent" };
+            return { kind: "unknown", message: "emulated: unreachable" };
         }
         switch (fault) {
             case "none": {
-                const answer = await carryOut(life);
-                if (life.alive) {
+                const answer = await handle(incarnation);
+                if (incarnation.alive) {
                     return answer;
                 }
                 await time.sleep(timeoutMs);
-                return { kind: "unknown", message: "emulated: lost meanwhile" };
+                return { kind: "unknown", message: "emulated: worker lost during the call" };
             }
             case "unwell":
                 return { kind: "unwell" };
             case "loseAnswer":
-                await carryOut(life);
+                await handle(incarnation);
                 await time.sleep(timeoutMs);
                 return { kind: "unknown", message: "emulated: answer lost" };
             case "late":
-                // What a worker leaves lying is lost with its life.
-                time.setTimer(faults.lateMs, () => void (life.alive && carryOut(life)));
+                // A delayed order is lost with the incarnation that received it.
+                time.setTimer(faults.lateMs, () => void (incarnation.alive && handle(incarnation)));
                 await time.sleep(timeoutMs);
                 return { kind: "unknown", message: "emulated: late" };
         }
@@ -177,15 +213,15 @@
     return {
         start: (worker, order, timeoutMs) => {
             const sentAt = time.now();
-            return call(worker, "start", timeoutMs, life => start(life, order, sentAt));
+            return call(worker, "start", timeoutMs, incarnation => start(incarnation, order, sentAt));
         },
-        stop: (worker, order, timeoutMs) => call(worker, "stop", timeoutMs, life => stop(life, order)),
+        stop: (worker, order, timeoutMs) => call(worker, "stop", timeoutMs, incarnation => stop(incarnation, order)),
         pace: (worker, _order, timeoutMs) =>
-            call(worker, "pace", timeoutMs, life => ({
+            call(worker, "pace", timeoutMs, incarnation => ({
                 kind: "accepted" as const,
-                workerClock: workerLife.readClock(life, time.now()),
+                workerClock: workerIncarnation.readClock(incarnation, time.now()),
             })),
         poll: (worker, order, timeoutMs) =>
-            call(worker, "look", timeoutMs, life => look(life, order)) as Promise<leader.PollAnswer>,
+            call(worker, "look", timeoutMs, incarnation => poll(incarnation, order)) as Promise<leader.PollAnswer>,
     };
 }
--- a/src/emulator/workers.ts
+++ b/src/emulator/workers.ts
@@ -1,144 +1,156 @@
 /**
- * Workers in memory with the semantics of the port: fencing tokens, run numbers, leases, numbered ends, gangs and
- * checkpoints; with faults, and with a record of what a scheduler must never do.
+ * In-memory workers with the semantics of `leader.WorkerPort`: fencing tokens, run numbers, leases, numbered ends, gangs
+ * and checkpoints. They inject faults and record the scheduler's invariant violations.
  */
 import type * as clock from "../clock/index";
 import * as leader from "../leader/index";
 import type * as work from "../work/index";
 import * as startChecks from "./startChecks";
-import * as workerLife from "./workerIncarnation";
+import * as workerIncarnation from "./workerIncarnation";
 import * as workerOrders from "./workerOrders";
 
+/** Configuration of the emulated workers. */
 export interface EmulatedWorkersOptions {
     readonly clock: clock.Clock;
+    /** Time from a call until it reaches the worker. */
     readonly latencyMs: number;
     readonly maxLeaseMs: number;
+    /** Time from a stop order to the end of the run. */
     readonly stopMs: number;
-    /** How long members of a gang wait for the others; without it for ever. */
+    /** How long members of a gang wait for the others; without a limit by default. */
     readonly gangTimeoutMs?: number;
     readonly faults?: workerOrders.WorkerFaults;
-    getModel(task: string): workerLife.TaskModel;
-    /** Whether workers reach the directory now; by default they always do. */
+    /** Returns the behaviour of the task of that name. */
+    getModel(task: string): workerIncarnation.TaskModel;
+    /** Whether workers can reach the directory now; by default they always can. */
     canReport?(): boolean;
-    /** A task has taken the worker down, which is up to `kill` and `succeed`. */
+    /** Called when a task crashes its worker; the callee ends it by `kill`, and may call `addSuccessor` or `restart`. */
     onCrash?(workerId: string): void;
 }
 
+/** Emulated workers, addressed by their ids, and what was observed of the scheduler. */
 export interface EmulatedWorkers {
     readonly port: leader.WorkerPort;
     readonly directory: leader.WorkerDirectory;
+    /** Adds a worker, which starts now. */
     add(info: leader.WorkerInfo): void;
-    /** Begins another life at the address of one that is over, which then says so to whoever calls the old one. */
+    /** Starts a worker at the address of an ended one; calls to the ended one are then answered as `otherLife`. */
     addSuccessor(id: string, info: leader.WorkerInfo): void;
-    /** Begins another life under the id of one that is over, or that this ends. */
+    /** Starts another incarnation under the same id, after ending the current one if need be. */
     restart(id: string): void;
-    /** Changes the worker's capacity; the directory tells of it later. */
+    /** Changes the worker's capacity; the directory lists it after the next report. */
     resize(id: string, capacity: work.Resources): void;
-    /** Ends the worker's life; `listed` says whether the directory still shows it. */
+    /** Ends the worker's incarnation; `listed` says whether the directory still lists it. */
     kill(id: string, listed: boolean): void;
+    /** Announces that the worker leaves in `remainingMs`. */
     drain(id: string, remainingMs: number): void;
-    /** When the worker's present life began, or its last. */
+    /** Wall-clock time at which the worker's latest incarnation started. */
     getBornAt(id: string): number;
-    /** What the worker says of itself, or said last. */
+    /** The worker's current description, or its last one. */
     getInfo(id: string): leader.WorkerInfo;
-    /** The worker that lives at the address now. */
+    /** The id of the worker that runs at the address now, or `undefined`. */
     findByAddress(address: string): string | undefined;
-    /** How many tasks run there. */
+    /** Number of tasks that run on the worker. */
     countRunning(id: string): number;
-    /** Names of all tasks that run, or are being stopped, anywhere. */
+    /** Names of all tasks that run or are being stopped, on any worker. */
     getRunningTasks(): readonly string[];
-    /** What the tasks there take of the worker's capacity; `undefined` once its life is over. */
+    /** Resources that tasks use on the worker; `undefined` once it has ended. */
     getUsedResources(id: string): work.Resources | undefined;
-    /** Breaches of promises, in words, but for `shrunkStarts`; empty when all were kept. */
+    /** Descriptions of invariant violations, apart from those of `shrunkStarts`. */
     readonly breaches: readonly string[];
+    /** All starts, in order. */
     readonly starts: readonly startChecks.StartRecord[];
-    /** Members of gangs that waited in vain for the others. */
+    /** Members of gangs that timed out waiting for the others. */
     readonly aloneEnds: readonly startChecks.StartRecord[];
-    /** Starts that were sent over a capacity that had shrunk long before: breaches, unless links had held them up. */
+    /** Starts that exceed a capacity which was reduced well before they were sent: violations, unless links delayed them. */
     readonly shrunkStarts: readonly startChecks.StartRecord[];
-    /** How many workers each task has taken down. */
+    /** Number of workers that each task has crashed. */
     readonly crashCounts: ReadonlyMap<string, number>;
-    /** When workers were lost. */
+    /** Times at which workers were lost. */
     readonly lossTimes: readonly number[];
-    /** How many workers were lost while each task ran on them. */
+    /** Number of workers that were lost while they ran each task. */
     readonly lossCounts: ReadonlyMap<string, number>;
-    /** Names of tasks that ended well, with how often. */
+    /** Number of completed runs of each task that has any. */
     readonly doneCounts: ReadonlyMap<string, number>;
 }
 
-/** Granularity of the emulated work. */
+/** Interval at which the runs progress. */
 const TICK_MS = 50;
-const REPORT_EVERY_MS = 1_500;
-/** The directory tells of a change up to this much later. */
-const DIRECTORY_LAG_MS = 600;
+const REPORT_INTERVAL_MS = 1_500;
+/** Interval at which the directory's list is passed on, and so the maximum delay of a change. */
+const DIRECTORY_POLL_MS = 600;
 
 const NO_FAULTS: workerOrders.WorkerFaults = { decide: () => "none", lateMs: 0, getSlowdown: () => 1 };
 
+/** Creates the port and the directory of emulated workers, without any worker; see `add`. */
 export function createEmulatedWorkers(options: EmulatedWorkersOptions): EmulatedWorkers {
     const { clock: time } = options;
     const faults = options.faults ?? NO_FAULTS;
-    const lives = new Map<string, workerLife.Incarnation>();
+    const incarnations = new Map<string, workerIncarnation.Incarnation>();
     const starts: startChecks.StartRecord[] = [];
     const doneCounts = new Map<string, number>();
     const aloneEnds: startChecks.StartRecord[] = [];
     const lossTimes: number[] = [];
     const lossCounts = new Map<string, number>();
-    const checks = startChecks.createStartChecks(lives);
+    const checks = startChecks.createStartChecks(incarnations);
     const gangTimeoutMs = options.gangTimeoutMs ?? Infinity;
 
-    const end = (life: workerLife.Incarnation, run: workerLife.Run, how: leader.EndKind) => {
-        life.runs.delete(run.task);
-        life.closedRuns.set(run.task, Math.max(run.run, life.closedRuns.get(run.task) ?? 0));
-        const savedMs = run.model.checkpoints
+    const end = (incarnation: workerIncarnation.Incarnation, run: workerIncarnation.Run, how: leader.EndKind) => {
+        incarnation.runs.delete(run.task);
+        incarnation.latestClosedRuns.set(run.task, Math.max(run.run, incarnation.latestClosedRuns.get(run.task) ?? 0));
+        const checkpointMs = run.model.checkpoints
             ? (how === "stopped"
                 ? run.doneMs
-                : Math.floor(run.doneMs / workerLife.SAVE_EVERY_MS) * workerLife.SAVE_EVERY_MS)
+                : Math.floor(run.doneMs / workerIncarnation.CHECKPOINT_INTERVAL_MS)
+                    * workerIncarnation.CHECKPOINT_INTERVAL_MS)
             : 0;
-        life.ends.push({
-            number: life.nextEnd++,
+        incarnation.ends.push({
+            number: incarnation.nextEndNumber++,
             task: run.task,
             run: run.run,
             how,
-            saved: savedMs > 0 ? String(savedMs) : "",
+            saved: checkpointMs > 0 ? String(checkpointMs) : "",
         });
         if (how === "done" || how === "failed") {
-            checks.noteEnd(life, run, life.nextEnd - 1, how);
+            checks.recordEnd(incarnation, run, incarnation.nextEndNumber - 1, how);
         }
         if (how === "done") {
             doneCounts.set(run.task, (doneCounts.get(run.task) ?? 0) + 1);
         }
-        [...life.waiters].forEach(wake => wake());
+        [...incarnation.waiters].forEach(wake => wake());
     };
-    const findGang = (run: workerLife.Run) => {
-        const members: Array<{ life: workerLife.Incarnation; run: workerLife.Run; }> = [];
-        for (const life of lives.values()) {
-            for (const other of life.alive ? life.runs.values() : []) {
+    const findGangMembers = (run: workerIncarnation.Run) => {
+        const members: Array<{ incarnation: workerIncarnation.Incarnation; run: workerIncarnation.Run; }> = [];
+        for (const incarnation of incarnations.values()) {
+            for (const other of incarnation.alive ? incarnation.runs.values() : []) {
                 if (other.model.gang === run.model.gang && other.run === run.run) {
-                    members.push({ life, run: other });
+                    members.push({ incarnation, run: other });
                 }
             }
         }
         return members;
     };
-    const advance = (life: workerLife.Incarnation) => {
-        const slowness = faults.getSlowdown(life.info.id);
-        for (const run of [...life.runs.values()]) {
-            if (!life.runs.has(run.task)) {
+    const advance = (incarnation: workerIncarnation.Incarnation) => {
+        const slowdown = faults.getSlowdown(incarnation.info.id);
+        for (const run of [...incarnation.runs.values()]) {
+            if (!incarnation.runs.has(run.task)) {
                 continue;
             }
-            if (time.now() >= life.deadline) {
-                end(life, run, "lapsed");
+            if (time.now() >= incarnation.leaseExpiresAt) {
+                end(incarnation, run, "lapsed");
                 continue;
             }
-            if (run.stoppingAt !== undefined) {
-                if (time.now() >= run.stoppingAt) {
-                    end(life, run, "stopped");
+            if (run.stopsAt !== undefined) {
+                if (time.now() >= run.stopsAt) {
+                    end(incarnation, run, "stopped");
                 }
                 continue;
             }
-            const gang = run.model.gangSize > 1 ? findGang(run) : [{ life, run }];
-            if (run.failsSoon) {
-                gang.forEach(member => end(member.life, member.run, member.run.failsSoon ? "failed" : "broken"));
+            const gang = run.model.gangSize > 1 ? findGangMembers(run) : [{ incarnation, run }];
+            if (run.failsEarly) {
+                gang.forEach(member =>
+                    end(member.incarnation, member.run, member.run.failsEarly ? "failed" : "broken")
+                );
                 continue;
             }
             if (gang.length < run.model.gangSize) {
@@ -146,49 +158,50 @@
                     aloneEnds.push({
                         task: run.task,
                         run: run.run,
-                        workerId: life.info.id,
-                        incarnationId: getLifeId(life),
+                        workerId: incarnation.info.id,
+                        incarnationId: getIncarnationId(incarnation),
                         at: time.now(),
                     });
-                    end(life, run, "alone");
+                    end(incarnation, run, "alone");
                 }
                 continue;
             }
-            const stepMs = TICK_MS / slowness / workerLife.getFarFactor(run, life, gang.map(member => member.life));
+            const stepMs = TICK_MS / slowdown
+                / workerIncarnation.getDistanceFactor(run, incarnation, gang.map(member => member.incarnation));
             run.doneMs = Math.min(run.model.durationMs, run.doneMs + stepMs);
             if (gang.every(member => member.run.doneMs >= member.run.model.durationMs)) {
                 const how = run.model.fails(run.run) ? "failed" : "done";
                 gang.forEach(member =>
-                    end(member.life, member.run, how === "done" || member.run === run ? how : "broken")
+                    end(member.incarnation, member.run, how === "done" || member.run === run ? how : "broken")
                 );
             }
         }
     };
-    const report = (life: workerLife.Incarnation) => {
+    const report = (incarnation: workerIncarnation.Incarnation) => {
         if (options.canReport?.() !== false) {
-            life.report = { info: life.info, at: time.now() };
+            incarnation.report = { info: incarnation.info, at: time.now() };
         }
     };
     const tick = () => {
-        for (const life of lives.values()) {
-            if (life.alive && time.now() - life.report.at >= REPORT_EVERY_MS) {
-                report(life);
+        for (const incarnation of incarnations.values()) {
+            if (incarnation.alive && time.now() - incarnation.report.at >= REPORT_INTERVAL_MS) {
+                report(incarnation);
             }
-            if (time.now() >= life.deadline) {
-                life.lapsedEnd = life.nextEnd - 1;
+            if (time.now() >= incarnation.leaseExpiresAt) {
+                incarnation.lastExpiredEnd = incarnation.nextEndNumber - 1;
             }
-            if (life.alive) {
-                advance(life);
+            if (incarnation.alive) {
+                advance(incarnation);
             }
         }
         time.setTimer(TICK_MS, tick);
     };
     time.setTimer(TICK_MS, tick);
 
-    const crash = (life: workerLife.Incarnation, run: workerLife.Run) => {
-        if (life.alive && life.runs.get(run.task) === run) {
-            checks.noteCrash(run.task);
-            options.onCrash?.(life.info.id);
+    const crash = (incarnation: workerIncarnation.Incarnation, run: workerIncarnation.Run) => {
+        if (incarnation.alive && incarnation.runs.get(run.task) === run) {
+            checks.recordCrash(run.task);
+            options.onCrash?.(incarnation.info.id);
         }
     };
     const port = workerOrders.createWorkerPort({
@@ -197,58 +210,58 @@
         maxLeaseMs: options.maxLeaseMs,
         stopMs: options.stopMs,
         faults,
-        lives,
+        incarnations,
         checks,
         getModel: options.getModel,
-        onStart: (life, run) => {
+        onStart: (incarnation, run) => {
             const record = {
                 task: run.task,
                 run: run.run,
-                workerId: life.info.id,
-                incarnationId: getLifeId(life),
+                workerId: incarnation.info.id,
+                incarnationId: getIncarnationId(incarnation),
                 at: time.now(),
             };
             starts.push(record);
             const { crashesAfterMs } = run.model;
             if (crashesAfterMs !== undefined) {
-                time.setTimer(crashesAfterMs, () => crash(life, run));
+                time.setTimer(crashesAfterMs, () => crash(incarnation, run));
             }
             return record;
         },
     });
 
-    const add = (info: leader.WorkerInfo, clockZeroAt = 0) => {
-        lives.set(info.id, {
+    const add = (info: leader.WorkerInfo, clockStartedAt = 0) => {
+        incarnations.set(info.id, {
             info,
-            bornAt: Math.floor(time.wallTime()),
-            clockZeroAt,
+            startedAt: Math.floor(time.wallTime()),
+            clockStartedAt,
             report: { info, at: time.now() },
             alive: true,
             listed: true,
-            fence: 0,
-            deadline: 0,
+            fencingToken: 0,
+            leaseExpiresAt: 0,
             runs: new Map(),
-            closedRuns: new Map(),
+            latestClosedRuns: new Map(),
             ends: [],
-            nextEnd: 1,
+            nextEndNumber: 1,
             waiters: new Set(),
-            lapsedEnd: 0,
+            lastExpiredEnd: 0,
             earlierCapacities: [],
             hasSuccessor: false,
         });
     };
     const kill = (id: string, listed: boolean) => {
-        const life = lives.get(id)!;
-        life.listed = listed;
-        if (!life.alive) {
+        const incarnation = incarnations.get(id)!;
+        incarnation.listed = listed;
+        if (!incarnation.alive) {
             return;
         }
-        life.alive = false;
+        incarnation.alive = false;
         lossTimes.push(time.now());
-        for (const task of life.runs.keys()) {
+        for (const task of incarnation.runs.keys()) {
             lossCounts.set(task, (lossCounts.get(task) ?? 0) + 1);
         }
-        life.runs.clear();
+        incarnation.runs.clear();
     };
     return {
         breaches: checks.violations,
@@ -262,61 +275,64 @@
         add: info => add(info),
         restart: id => {
             kill(id, false);
-            const { info, earlierCapacities } = lives.get(id)!;
+            const { info, earlierCapacities } = incarnations.get(id)!;
             add({ ...info, draining: false, remainingMs: 0 }, time.now());
-            // The machine beneath stays.
-            lives.get(id)!.earlierCapacities.push(...earlierCapacities);
+            // The new incarnation runs on the same machine.
+            incarnations.get(id)!.earlierCapacities.push(...earlierCapacities);
         },
         addSuccessor: (id, info) => {
-            lives.get(id)!.hasSuccessor = true;
+            incarnations.get(id)!.hasSuccessor = true;
             add(info);
         },
         resize: (id, capacity) => {
-            const life = lives.get(id)!;
-            life.earlierCapacities.push({ capacity: life.info.capacity, until: time.now() });
-            life.info = { ...life.info, capacity };
+            const incarnation = incarnations.get(id)!;
+            incarnation.earlierCapacities.push({ capacity: incarnation.info.capacity, changedAt: time.now() });
+            incarnation.info = { ...incarnation.info, capacity };
         },
         kill,
-        getRunningTasks: () => [...lives.values()].flatMap(life => [...life.runs.keys()]),
+        getRunningTasks: () => [...incarnations.values()].flatMap(incarnation => [...incarnation.runs.keys()]),
         findByAddress: address =>
-            [...lives.values()].find(life => life.alive && life.info.address === address)?.info.id,
-        getBornAt: id => lives.get(id)!.bornAt,
-        getInfo: id => lives.get(id)!.info,
-        countRunning: id => lives.get(id)!.runs.size,
+            [...incarnations.values()].find(incarnation => incarnation.alive && incarnation.info.address === address)
+                ?.info.id,
+        getBornAt: id => incarnations.get(id)!.startedAt,
+        getInfo: id => incarnations.get(id)!.info,
+        countRunning: id => incarnations.get(id)!.runs.size,
         getUsedResources: id => {
-            const life = lives.get(id)!;
-            return life.alive ? workerLife.sumNeeds(life) : undefined;
+            const incarnation = incarnations.get(id)!;
+            return incarnation.alive ? workerIncarnation.getUsedResources(incarnation) : undefined;
         },
         drain: (id, remainingMs) => {
-            const life = lives.get(id)!;
-            life.info = { ...life.info, draining: true, remainingMs };
-            report(life);
+            const incarnation = incarnations.get(id)!;
+            incarnation.info = { ...incarnation.info, draining: true, remainingMs };
+            report(incarnation);
         },
         directory: {
             follow: (signal, onWorkers) => {
-                const tell = () => {
+                const notify = () => {
                     if (!signal.aborted) {
-                        onWorkers([...lives.values()].filter(life => life.listed).map(toListed));
-                        time.setTimer(DIRECTORY_LAG_MS, tell);
+                        onWorkers(
+                            [...incarnations.values()].filter(incarnation => incarnation.listed).map(toListedWorker),
+                        );
+                        time.setTimer(DIRECTORY_POLL_MS, notify);
                     }
                 };
-                time.setTimer(options.latencyMs, tell);
+                time.setTimer(options.latencyMs, notify);
             },
         },
         port,
     };
 }
 
-function getLifeId({ info, bornAt }: workerLife.Incarnation): string {
-    return leader.getIncarnationId({ name: info.id, startedAt: bornAt });
+function getIncarnationId({ info, startedAt }: workerIncarnation.Incarnation): string {
+    return leader.getIncarnationId({ name: info.id, startedAt });
 }
 
-function toListed({ report, bornAt }: workerLife.Incarnation): leader.ListedWorker {
+function toListedWorker({ report, startedAt }: workerIncarnation.Incarnation): leader.ListedWorker {
     const { id, ...info } = report.info;
-    return { ...info, name: id, startedAt: bornAt, reportedAt: report.at };
+    return { ...info, name: id, startedAt, reportedAt: report.at };
 }
 
-/** Breaches in words, where nothing holds orders up. */
+/** Describes all invariant violations, for sites whose links do not delay orders. */
 export function listViolations(workers: EmulatedWorkers): readonly string[] {
-    return [...workers.breaches, ...workers.shrunkStarts.map(startChecks.describeShrunkStart)];
+    return [...workers.breaches, ...workers.shrunkStarts.map(startChecks.describeStartAfterShrink)];
 }
