--- a/soak/__tests__/link.test.ts
+++ b/soak/__tests__/link.test.ts
@@ -8,7 +8,7 @@
     readonly sockets: readonly net.Socket[];
 }
 
-/** A server that sends back what it gets. */
+/** Creates a server that echoes what it receives. */
 async function createEcho(): Promise<Echo> {
     const received: string[] = [];
     const sockets: net.Socket[] = [];
@@ -24,7 +24,7 @@
     return { server, address: `127.0.0.1:${(server.address() as net.AddressInfo).port}`, received, sockets };
 }
 
-/** Below the system's range for outgoing connections, so that nobody else takes it. */
+/** Below the system's port range for outgoing connections, so that no such connection takes it. */
 const PORT = 21_873;
 
 describe("a link", () => {
@@ -45,9 +45,9 @@
         client.on("error", () => client.destroy());
         closed = new Promise(resolve => client.once("close", () => resolve()));
         await new Promise<void>(resolve => client.once("connect", () => resolve()));
-        // Once through, so that both ways are known to be there.
+        // One round trip shows that both directions are connected.
         client.write("0");
-        await until(() => answers === "0");
+        await waitUntil(() => answers === "0");
     });
     afterEach(async () => {
         client.destroy();
@@ -56,10 +56,10 @@
         await new Promise<void>(resolve => echo.server.close(() => resolve()));
     });
 
-    test("that is delayed leaves no bytes behind", async () => {
-        // Symptom: now and then a call over a delayed link gets no answer, and a soak finds a promise broken that held.
-        // Sequence: the timer of the last bytes fires within the millisecond before they are due. Cause: timers and the
-        // time of day are rounded apart, and nothing looked at those bytes again until more came.
+    test("with a delay delivers all bytes", async () => {
+        // Timers and the time of day are rounded differently, so the timer of the last bytes can fire up to a millisecond
+        // before they are due. Unless it is set again, the bytes are stuck until more arrive: a call gets no answer, and a
+        // soak run reports a violation that did not happen.
         link.setDelay(1);
         for (let number = 0; number < 1_000; number++) {
             const arrived = new Promise<void>(resolve => client.once("data", () => resolve()));
@@ -69,13 +69,13 @@
         expect(answers).toHaveLength(1_001);
     });
 
-    test("of a low rate passes bytes on little by little, and all of them in order", async () => {
+    test("of low bandwidth delivers bytes gradually, and all of them in order", async () => {
         link.setRate(1_000_000);
         const text = "x".repeat(100_000) + "end";
         const pieces: number[] = [];
         client.on("data", chunk => void pieces.push(chunk.length));
         client.write(text);
-        await until(() => answers.endsWith("end"));
+        await waitUntil(() => answers.endsWith("end"));
         expect(answers).toBe(`0${text}`);
         expect(pieces.length).toBeGreaterThan(3);
     });
@@ -85,21 +85,24 @@
         { state: "silent", arrives: false },
         { state: "answersHeld", arrives: true },
     ];
-    test.each(cases)("that is $state holds its bytes, and passes them on in order once it opens", async item => {
-        link.setState(item.state);
-        client.write("1");
-        if (item.arrives) {
-            await until(() => echo.received.join("") === "01");
-        }
-        client.write("2");
-        await turn();
-        expect(answers).toBe("0");
-        expect(echo.received.join("").startsWith("01")).toBe(item.arrives);
-        link.setState("open");
-        await until(() => answers === "012");
-    });
+    test.each(cases)(
+        "in state $state holds its bytes, and delivers them in order when it is open again",
+        async item => {
+            link.setState(item.state);
+            client.write("1");
+            if (item.arrives) {
+                await waitUntil(() => echo.received.join("") === "01");
+            }
+            client.write("2");
+            await waitForDelivery();
+            expect(answers).toBe("0");
+            expect(echo.received.join("").startsWith("01")).toBe(item.arrives);
+            link.setState("open");
+            await waitUntil(() => answers === "012");
+        },
+    );
 
-    test("that is reset ends its connections, and new ones at once", async () => {
+    test("in state reset closes its connections, and new ones at once", async () => {
         link.setState("reset");
         await closed;
         const next = net.connect(PORT, "127.0.0.1");
@@ -107,27 +110,27 @@
         await new Promise<void>(resolve => next.once("close", () => resolve()));
     });
 
-    test("does not tell of an end that it holds back", async () => {
+    test("does not close the client's connection while it holds the server's end", async () => {
         link.setState("silent");
         let ended = false;
         void closed.then(() => {
             ended = true;
         });
         echo.sockets.forEach(socket => socket.destroy());
-        await turn();
+        await waitForDelivery();
         expect(ended).toBe(false);
         link.setState("open");
         await closed;
     });
 });
 
-async function until(holds: () => boolean): Promise<void> {
-    while (!holds()) {
-        await turn();
+async function waitUntil(condition: () => boolean): Promise<void> {
+    while (!condition()) {
+        await waitForDelivery();
     }
 }
 
-/** Lets what is under way on loopback arrive. */
-function turn(): Promise<void> {
+/** Waits until data in transit on loopback has arrived. */
+function waitForDelivery(): Promise<void> {
     return new Promise(resolve => setTimeout(resolve, 20));
 }
--- a/soak/__tests__/violations.test.ts
+++ b/soak/__tests__/violations.test.ts
@@ -1,6 +1,6 @@
 import type * as emulator from "../../src/emulator/index";
 import * as work from "../../src/work/index";
-import * as verdict from "../violations";
+import * as violationChecks from "../violations";
 
 const JOB: emulator.EmulatedJob = {
     jobId: "00000000000000aa",
@@ -16,10 +16,10 @@
     durationsMs: [1_000],
 };
 const TASKS = [`${JOB.jobId}.0.0.0`, `${JOB.jobId}.0.0.1`];
-const ALWAYS_CALM: verdict.FaultFreeTimes = { isFaultFree: () => true };
-const NEVER_CALM: verdict.FaultFreeTimes = { isFaultFree: () => false };
+const ALWAYS_FAULT_FREE: violationChecks.FaultFreeTimes = { isFaultFree: () => true };
+const NEVER_FAULT_FREE: violationChecks.FaultFreeTimes = { isFaultFree: () => false };
 
-function createRecord(fields: Partial<verdict.JobRecord>): verdict.JobRecord {
+function createRecord(fields: Partial<violationChecks.JobRecord>): violationChecks.JobRecord {
     return {
         job: JOB,
         refused: false,
@@ -31,13 +31,13 @@
     };
 }
 
-type Seen = Pick<
+type ObservedByWorkers = Pick<
     emulator.EmulatedWorkers,
     "breaches" | "starts" | "aloneEnds" | "shrunkStarts" | "lossTimes" | "lossCounts" | "doneCounts"
 >;
 
-function createWorkers(fields: Partial<Seen>): emulator.EmulatedWorkers {
-    const seen: Seen = {
+function createWorkers(fields: Partial<ObservedByWorkers>): emulator.EmulatedWorkers {
+    const observed: ObservedByWorkers = {
         breaches: [],
         starts: [],
         aloneEnds: [],
@@ -47,7 +47,7 @@
         doneCounts: new Map(),
         ...fields,
     };
-    return seen as emulator.EmulatedWorkers;
+    return observed as emulator.EmulatedWorkers;
 }
 
 function startAt(at: number, workerId = "w") {
@@ -56,27 +56,34 @@
 
 interface Case {
     readonly name: string;
-    readonly record?: Partial<verdict.JobRecord>;
-    readonly workers?: Partial<Seen>;
+    readonly record?: Partial<violationChecks.JobRecord>;
+    readonly workers?: Partial<ObservedByWorkers>;
     readonly drainedAt?: number;
-    readonly calm?: verdict.FaultFreeTimes;
-    /** Part of the one breach; without it there is none. */
-    readonly breach?: string;
+    readonly faultFreeTimes?: violationChecks.FaultFreeTimes;
+    /** Part of the only violation that is expected; absent: none is. */
+    readonly violation?: string;
 }
 
 const cases: readonly Case[] = [
     { name: "a job that is completed" },
-    { name: "a job that is lost", record: { state: undefined }, breach: "is not shown, not completed" },
-    { name: "a job that is shown as failed", record: { state: "failed" }, breach: "is failed, not completed" },
+    {
+        name: "a job whose state is never reported",
+        record: { state: undefined },
+        violation: "is not reported, not completed",
+    },
+    { name: "a job that is reported as failed", record: { state: "failed" }, violation: "is failed, not completed" },
     { name: "a job that is cancelled", record: { state: "cancelled", cancelSentAt: 5, cancelledAt: 6 } },
-    { name: "a job that was turned away", record: { refused: true, acceptedAt: undefined, state: undefined } },
     {
-        name: "a job that was turned away, and runs",
+        name: "a job whose submissions were refused",
+        record: { refused: true, acceptedAt: undefined, state: undefined },
+    },
+    {
+        name: "a job that runs although its submissions were refused",
         record: { refused: true, acceptedAt: undefined, state: undefined },
         workers: { starts: [startAt(1)] },
-        breach: "ran, but each attempt",
+        violation: "ran, but every submission",
     },
-    { name: "a job of which nobody knows", record: { acceptedAt: undefined, state: undefined } },
+    { name: "a job whose submissions got no clear answer", record: { acceptedAt: undefined, state: undefined } },
     {
         name: "a start soon after the cancellation",
         record: { state: "cancelled", cancelSentAt: 0, cancelledAt: 0 },
@@ -86,73 +93,88 @@
         name: "a start long after the cancellation",
         record: { state: "cancelled", cancelSentAt: 0, cancelledAt: 0 },
         workers: { starts: [startAt(3_600)] },
-        breach: "3600 ms after the cancellation",
+        violation: "3600 ms after the cancellation",
     },
     {
-        name: "a start long after the cancellation, in trouble",
+        name: "a start long after the cancellation, during a fault",
         record: { state: "cancelled", cancelSentAt: 0, cancelledAt: 0 },
         workers: { starts: [startAt(3_600)] },
-        calm: NEVER_CALM,
+        faultFreeTimes: NEVER_FAULT_FREE,
     },
-    { name: "a start on a worker that begins to drain", workers: { starts: [startAt(2_400)] }, drainedAt: 0 },
+    { name: "a start on a worker that has just begun to drain", workers: { starts: [startAt(2_400)] }, drainedAt: 0 },
     {
-        name: "a start on a worker that drains",
+        name: "a start on a worker that has been draining for long",
         workers: { starts: [startAt(2_600)] },
         drainedAt: 0,
-        breach: "started on w 2600 ms after it began to drain",
+        violation: "started on w 2600 ms after it began to drain",
     },
     {
-        name: "a start on another worker meanwhile",
+        name: "a start on another worker while one drains",
         workers: { starts: [startAt(2_600, "v")] },
         drainedAt: 0,
     },
-    { name: "a part of a gang", workers: { aloneEnds: [startAt(9_000)] }, breach: "waited in vain" },
-    { name: "a part of a gang in trouble", workers: { aloneEnds: [startAt(9_000)] }, calm: NEVER_CALM },
     {
-        name: "a part of a gang long after a loss",
+        name: "a gang of which only a part started",
+        workers: { aloneEnds: [startAt(9_000)] },
+        violation: "the rest of its gang did not start",
+    },
+    {
+        name: "a gang of which only a part started, during a fault",
+        workers: { aloneEnds: [startAt(9_000)] },
+        faultFreeTimes: NEVER_FAULT_FREE,
+    },
+    {
+        name: "a gang of which only a part started, long after a worker was lost",
         workers: { aloneEnds: [startAt(9_000)], lossTimes: [3_900] },
-        breach: "in vain",
+        violation: "the rest of its gang did not start",
+    },
+    {
+        name: "a gang of which only a part started, soon after a worker was lost",
+        workers: { aloneEnds: [startAt(9_000)], lossTimes: [4_100] },
     },
-    { name: "a part of a gang that lost a worker", workers: { aloneEnds: [startAt(9_000)], lossTimes: [4_100] } },
     {
-        name: "a start over a capacity that had shrunk",
+        name: "a start beyond a reduced capacity",
         workers: { shrunkStarts: [startAt(9_000)] },
-        breach: "had shrunk",
+        violation: "beyond its reduced capacity",
     },
     {
-        name: "a start over a capacity that had shrunk, held up in trouble",
+        name: "a start beyond a reduced capacity, during a fault",
         workers: { shrunkStarts: [startAt(9_000)] },
-        calm: NEVER_CALM,
+        faultFreeTimes: NEVER_FAULT_FREE,
     },
     {
-        name: "a job that is shown as failed after one worker was lost",
+        name: "a job that is reported as failed after each of its tasks lost one worker",
         record: { state: "failed" },
         workers: { lossCounts: new Map([[TASKS[0]!, 1], [TASKS[1]!, 1]]) },
-        breach: "is failed, not completed",
+        violation: "is failed, not completed",
     },
     {
-        name: "a job that is shown as failed after two workers were lost under one of its tasks",
+        name: "a job that is reported as failed after one of its tasks lost two workers",
         record: { state: "failed" },
         workers: { lossCounts: new Map([[TASKS[0]!, 2]]) },
     },
-    { name: "what a worker has seen", workers: { breaches: ["a task ran twice"] }, breach: "a task ran twice" },
+    {
+        name: "a violation that a worker has observed",
+        workers: { breaches: ["a task ran twice"] },
+        violation: "a task ran twice",
+    },
 ];
 
-test.each(cases)("$name", ({ record = {}, workers = {}, drainedAt, calm = ALWAYS_CALM, breach }) => {
-    const breaches = verdict.findViolations({
+test.each(cases)("$name", ({ record = {}, workers = {}, drainedAt, faultFreeTimes = ALWAYS_FAULT_FREE, violation }) => {
+    const violations = violationChecks.findViolations({
         jobs: [createRecord(record)],
         workers: createWorkers(workers),
-        drains: drainedAt === undefined ? [] : [{ lifeId: "w", at: drainedAt }],
-        faultFreeTimes: calm,
+        drains: drainedAt === undefined ? [] : [{ incarnationId: "w", at: drainedAt }],
+        faultFreeTimes,
     });
-    expect(breaches).toEqual(breach === undefined ? [] : [expect.stringContaining(breach)]);
+    expect(violations).toEqual(violation === undefined ? [] : [expect.stringContaining(violation)]);
 });
 
-test("a job is shown as completed when all of its tasks have ended well, and not before", () => {
+test("a job may be reported as completed only when all of its tasks have succeeded", () => {
     const record = createRecord({});
     const half = createWorkers({ doneCounts: new Map([[TASKS[0]!, 1]]) });
     const whole = createWorkers({ doneCounts: new Map(TASKS.map(task => [task, 1])) });
-    expect(verdict.checkReportedState(record, "completed", half)).toEqual([expect.stringContaining(TASKS[1]!)]);
-    expect(verdict.checkReportedState(record, "completed", whole)).toEqual([]);
-    expect(verdict.checkReportedState(record, "running", half)).toEqual([]);
+    expect(violationChecks.checkReportedState(record, "completed", half)).toEqual([expect.stringContaining(TASKS[1]!)]);
+    expect(violationChecks.checkReportedState(record, "completed", whole)).toEqual([]);
+    expect(violationChecks.checkReportedState(record, "running", half)).toEqual([]);
 });
--- a/soak/callers.ts
+++ b/soak/callers.ts
@@ -1,78 +1,80 @@
-/** Callers: they hand jobs in, come back when they are turned away, ask how their jobs are doing, and cancel some. */
+/** Simulated callers: they submit jobs, retry refused requests, poll the states of their jobs, and cancel some of them. */
 import * as events from "node:events";
 import * as standin from "../platform/standin/index";
 import type * as catalogs from "../src/catalog/index";
 import type * as clock from "../src/clock/index";
 import * as emulator from "../src/emulator/index";
 import type * as random from "../src/random/index";
-import type * as balancers from "./loadBalancer";
-import * as verdict from "./violations";
+import type * as loadBalancers from "./loadBalancer";
+import * as violationChecks from "./violations";
 
 export interface CallersOptions {
     readonly clock: clock.Clock;
     readonly source: random.Random;
-    /** For what is handed in and when, so that a seed always brings the same. */
+    /** Source of the jobs and of their arrival times, which depend on the seed alone. */
     readonly jobSource: random.Random;
-    /** For which jobs have tasks that take their workers down. */
-    readonly poisonSource: random.Random;
-    readonly balancer: balancers.LoadBalancer;
+    /** Source of the choice of jobs whose tasks crash their workers. */
+    readonly crashSource: random.Random;
+    readonly balancer: loadBalancers.LoadBalancer;
     readonly workers: emulator.EmulatedWorkers;
     readonly queues: readonly catalogs.Queue[];
     readonly key: string;
-    /** Where new jobs are made known to the workers. */
+    /** Submitted jobs by id, which the emulated workers read. */
     readonly jobs: Map<string, emulator.EmulatedJob>;
 }
 
 export interface Callers {
-    readonly records: readonly verdict.JobRecord[];
-    /** What was shown in contradiction to what had happened. */
+    readonly records: readonly violationChecks.JobRecord[];
+    /** Reported states that contradict what the workers had run by then. */
     readonly violations: readonly string[];
-    /** Hands in jobs, so many a second on average, until the signal. */
+    /** Submits jobs at this average rate until the signal is aborted. */
     run(perSecond: number, signal: AbortSignal): Promise<void>;
-    /** Whether every job that was accepted has come to an end, and no caller is still trying. */
+    /** Whether every accepted job has ended and no submission is in progress. */
     isDone(): boolean;
     close(): void;
 }
 
-const PATIENCE_MS = 3_000;
-const CONNECTIONS = 16;
-const TRIES = 4;
-const COME_BACK_MS = { least: 500, most: 1_100 };
-const ASK_EVERY_MS = 700;
-/** One job of so many is cancelled, after up to this long. */
-const CANCEL_EVERY = 8;
-const CANCEL_WITHIN_MS = 6_000;
+const REQUEST_TIMEOUT_MS = 3_000;
+const MAX_CONNECTIONS = 16;
+const MAX_SUBMIT_ATTEMPTS = 4;
+const RETRY_DELAY_MS = { minMs: 500, maxMs: 1_100 };
+const POLL_INTERVAL_MS = 700;
+/** One job in this many is cancelled. */
+const CANCEL_ONE_IN = 8;
+/** Longest time from the acceptance of a job to its cancellation. */
+const MAX_CANCEL_DELAY_MS = 6_000;
 const END_STATES = ["completed", "failed", "cancelled"];
 
 export function createCallers(options: CallersOptions): Callers {
     const { clock: time, source, balancer, key } = options;
-    const client = standin.createCallerClient({ timeoutMs: PATIENCE_MS, maxConnections: CONNECTIONS });
-    const records: verdict.JobRecord[] = [];
-    const breaches: string[] = [];
+    const client = standin.createCallerClient({ timeoutMs: REQUEST_TIMEOUT_MS, maxConnections: MAX_CONNECTIONS });
+    const records: violationChecks.JobRecord[] = [];
+    const violations: string[] = [];
     const closed = new AbortController();
     events.setMaxListeners(0, closed.signal);
-    let handingIn = 0;
+    let submitting = 0;
     let nextNumber = 0;
 
     const getQueue = (job: emulator.EmulatedJob) => options.queues.find(queue => queue.name === job.queue)!;
-    const comeBack = () =>
-        time.sleep(COME_BACK_MS.least + source.nextInt(COME_BACK_MS.most - COME_BACK_MS.least), closed.signal);
+    const waitToRetry = () =>
+        time.sleep(RETRY_DELAY_MS.minMs + source.nextInt(RETRY_DELAY_MS.maxMs - RETRY_DELAY_MS.minMs), closed.signal);
 
-    const handIn = async (record: verdict.JobRecord) => {
+    const submit = async (record: violationChecks.JobRecord) => {
         const { job } = record;
-        let open = false;
-        for (let attempt = 1; attempt <= TRIES && record.acceptedAt === undefined; attempt++) {
+        // An attempt without a clear answer may still have been accepted.
+        let mayBeAccepted = false;
+        for (let attempt = 1; attempt <= MAX_SUBMIT_ATTEMPTS && record.acceptedAt === undefined; attempt++) {
             const reply = await client.submit(balancer.pick(), getQueue(job), key, job.jobId, job.spec);
             if (reply.kind === "done") {
                 record.acceptedAt = time.now();
                 break;
             }
-            open ||= reply.kind !== "refused";
-            await comeBack();
+            mayBeAccepted ||= reply.kind !== "refused";
+            await waitToRetry();
         }
-        record.refused = record.acceptedAt === undefined && !open;
+        record.refused = record.acceptedAt === undefined && !mayBeAccepted;
     };
-    const cancel = async (record: verdict.JobRecord) => {
+    const cancel = async (record: violationChecks.JobRecord) => {
         const { job } = record;
         record.cancelSentAt = time.now();
         while (record.cancelledAt === undefined && !closed.signal.aborted) {
@@ -81,41 +83,41 @@
                 record.cancelledAt = time.now();
                 return;
             }
-            await comeBack();
+            await waitToRetry();
         }
     };
-    const follow = async (record: verdict.JobRecord) => {
+    const pollUntilEnded = async (record: violationChecks.JobRecord) => {
         const { job } = record;
         while (!closed.signal.aborted && !hasEnded(record)) {
-            await time.sleep(ASK_EVERY_MS, closed.signal);
+            await time.sleep(POLL_INTERVAL_MS, closed.signal);
             const reply = await client.getState(balancer.pick(), getQueue(job), key, job.jobId);
             if (reply.kind === "state") {
                 record.state = reply.state;
-                breaches.push(...verdict.checkReportedState(record, reply.state, options.workers));
+                violations.push(...violationChecks.checkReportedState(record, reply.state, options.workers));
             }
         }
     };
-    const live = async (record: verdict.JobRecord) => {
-        handingIn++;
-        await handIn(record);
-        handingIn--;
+    const runJob = async (record: violationChecks.JobRecord) => {
+        submitting++;
+        await submit(record);
+        submitting--;
         if (record.acceptedAt === undefined) {
             return;
         }
-        if (source.nextInt(CANCEL_EVERY) === 0) {
-            void time.sleep(source.nextInt(CANCEL_WITHIN_MS), closed.signal).then(() => cancel(record));
+        if (source.nextInt(CANCEL_ONE_IN) === 0) {
+            void time.sleep(source.nextInt(MAX_CANCEL_DELAY_MS), closed.signal).then(() => cancel(record));
         }
-        await follow(record);
+        await pollUntilEnded(record);
     };
     return {
         records,
-        violations: breaches,
+        violations,
         run: async (perSecond, signal) => {
             while (!signal.aborted) {
-                const drawn = emulator.createRandomJob(options.jobSource, nextNumber++);
-                const job = emulator.withRandomCrashes(options.poisonSource, drawn);
+                const randomJob = emulator.createRandomJob(options.jobSource, nextNumber++);
+                const job = emulator.withRandomCrashes(options.crashSource, randomJob);
                 options.jobs.set(job.jobId, job);
-                const record: verdict.JobRecord = {
+                const record: violationChecks.JobRecord = {
                     job,
                     refused: false,
                     acceptedAt: undefined,
@@ -124,11 +126,11 @@
                     state: undefined,
                 };
                 records.push(record);
-                void live(record);
+                void runJob(record);
                 await time.sleep(options.jobSource.nextExponential(1_000 / perSecond), signal);
             }
         },
-        isDone: () => handingIn === 0 && records.every(record => record.acceptedAt === undefined || hasEnded(record)),
+        isDone: () => submitting === 0 && records.every(record => record.acceptedAt === undefined || hasEnded(record)),
         close: () => {
             closed.abort();
             client.close();
@@ -136,6 +138,6 @@
     };
 }
 
-function hasEnded(record: verdict.JobRecord): boolean {
+function hasEnded(record: violationChecks.JobRecord): boolean {
     return record.state !== undefined && END_STATES.includes(record.state);
 }
--- a/soak/faultInjection.ts
+++ b/soak/faultInjection.ts
@@ -1,17 +1,17 @@
 /**
- * What goes wrong and when, all from one seed: signals to processes, links that are cut, delayed or reset, a store
- * and workers that misbehave, workers that drain, die and come anew. Troubles overlap, and all of them end.
+ * Fault injection on a schedule that depends on one seed: signals to processes, links that are held, delayed or reset,
+ * faults of the store and of workers, and workers that drain, crash and restart. Faults overlap, and all of them end.
  */
 import type * as emulator from "../src/emulator/index";
 import type * as random from "../src/random/index";
 import * as links from "./link";
 import type * as sites from "./site";
 
-/** A trouble's target: one instance or worker by number, whoever leads, or all. */
+/** Target of a fault: one instance or worker by index, the current leader, or all. */
 type Target = number | "leader" | "all";
 
 export type InjectedFault =
-    /** The process dies and is started again after `forMs`. */
+    /** The process exits; it is restarted within seconds, see run.ts. */
     | { readonly kind: "kill" | "terminate"; readonly target: Target; }
     | { readonly kind: "pause"; readonly target: Target; }
     | { readonly kind: "storeLink" | "entryLink"; readonly target: Target; readonly state: links.LinkState; }
@@ -32,61 +32,61 @@
     | { readonly kind: "forgetHistory"; }
     /** The worker's tasks take `factor` times as long. */
     | { readonly kind: "slowTasks"; readonly target: Target; readonly factor: number; }
-    /** The worker's life ends; the next one begins after `forMs`. */
+    /** The worker dies; its host starts another one at the end of the fault. `told`: the directory learns of it at once. */
     | { readonly kind: "loseWorker"; readonly target: Target; readonly told: boolean; }
-    /** The worker's capacity is that share of what it was. */
+    /** The worker's capacity is reduced to this share. */
     | { readonly kind: "shrink"; readonly target: Target; readonly share: number; }
-    /** The worker drains for `forMs`, and is then replaced. */
+    /** The worker drains until the end of the fault and is then replaced. */
     | { readonly kind: "drain"; readonly target: Target; };
 
 export interface ScheduledFault {
     /** Milliseconds from the start of the run. */
-    readonly at: number;
-    readonly forMs: number;
-    readonly trouble: InjectedFault;
+    readonly startAfterMs: number;
+    readonly durationMs: number;
+    readonly fault: InjectedFault;
 }
 
-/** Longest trouble: beyond the longest lease of a worker. */
-const LONGEST_MS = 8_000;
+/** Longest duration of a fault: more than the longest lease of a worker. */
+const MAX_DURATION_MS = 8_000;
 const STORE_FAULTS: readonly emulator.StoreFault[] = ["refuse", "loseAnswer", "late", "silent"];
 const ORDER_FAULTS: readonly emulator.OrderFault[] = ["loseAnswer", "late", "cut", "unwell"];
-const CUTS: readonly links.LinkState[] = ["reset", "silent", "requestsHeld", "answersHeld"];
-/** One of so many troubles strikes all at once. */
-const ALL_EVERY = 6;
+const LINK_FAULTS: readonly links.LinkState[] = ["reset", "silent", "requestsHeld", "answersHeld"];
+/** One in this many faults hits all instances or workers at once. */
+const ALL_TARGETS_ONE_IN = 6;
 
 export interface FaultScheduleOptions {
     readonly instances: number;
     readonly workers: number;
-    /** Troubles begin and end within this time. */
-    readonly lastMs: number;
+    /** All faults begin and end within this time from the start of the run. */
+    readonly windowMs: number;
     readonly count: number;
 }
 
 export function createFaultSchedule(source: random.Random, options: FaultScheduleOptions): ScheduledFault[] {
-    const { lastMs } = options;
+    const { windowMs } = options;
     return Array.from({ length: options.count }, () => {
-        const at = source.nextInt(lastMs - 1_000);
-        const forMs = Math.min(lastMs - at, 300 + source.nextInt(LONGEST_MS - 300));
-        return { at, forMs, trouble: createTrouble(source, options) };
-    }).sort((a, b) => a.at - b.at);
+        const startAfterMs = source.nextInt(windowMs - 1_000);
+        const durationMs = Math.min(windowMs - startAfterMs, 300 + source.nextInt(MAX_DURATION_MS - 300));
+        return { startAfterMs, durationMs, fault: createRandomFault(source, options) };
+    }).sort((a, b) => a.startAfterMs - b.startAfterMs);
 }
 
-function createTrouble(source: random.Random, options: FaultScheduleOptions): InjectedFault {
+function createRandomFault(source: random.Random, options: FaultScheduleOptions): InjectedFault {
     const instance = (): Target => {
-        if (source.nextInt(ALL_EVERY) === 0) {
+        if (source.nextInt(ALL_TARGETS_ONE_IN) === 0) {
             return "all";
         }
         return source.nextInt(2) === 0 ? "leader" : source.nextInt(options.instances);
     };
-    const worker = (): Target => source.nextInt(ALL_EVERY) === 0 ? "all" : source.nextInt(options.workers);
+    const worker = (): Target => source.nextInt(ALL_TARGETS_ONE_IN) === 0 ? "all" : source.nextInt(options.workers);
     const share = () => 0.1 + 0.9 * source.nextFloat();
     const kinds: ReadonlyArray<() => InjectedFault> = [
         () => ({ kind: "kill", target: instance() }),
         () => ({ kind: "terminate", target: instance() }),
         () => ({ kind: "pause", target: instance() }),
-        () => ({ kind: "storeLink", target: instance(), state: source.pick(CUTS) }),
-        () => ({ kind: "entryLink", target: instance(), state: source.pick(CUTS) }),
-        () => ({ kind: "workerLink", target: worker(), state: source.pick(CUTS) }),
+        () => ({ kind: "storeLink", target: instance(), state: source.pick(LINK_FAULTS) }),
+        () => ({ kind: "entryLink", target: instance(), state: source.pick(LINK_FAULTS) }),
+        () => ({ kind: "workerLink", target: worker(), state: source.pick(LINK_FAULTS) }),
         () => ({ kind: "slowStore", target: instance(), delayMs: 20 + source.nextInt(600) }),
         () => ({ kind: "slowWorker", target: worker(), delayMs: 20 + source.nextInt(600) }),
         () => ({ kind: "storeFault", target: instance(), share: share(), fault: source.pick(STORE_FAULTS) }),
@@ -99,83 +99,83 @@
     return source.pick(kinds)();
 }
 
-/** Workers that shrink; drawn apart, so that the other troubles of a seed stay as they were. */
+/** Reductions of workers' capacity. They have a random source of their own, so that they don't change a seed's other faults. */
 export function createCapacityReductions(
     source: random.Random,
-    { workers, lastMs }: FaultScheduleOptions,
+    { workers, windowMs }: FaultScheduleOptions,
 ): ScheduledFault[] {
-    return Array.from({ length: source.nextInt(MOST_SHRINKS + 1) }, () => ({
-        at: source.nextInt(lastMs - 1_000),
-        forMs: 1_000 + source.nextInt(LONGEST_MS - 1_000),
-        trouble: { kind: "shrink", target: source.nextInt(workers), share: source.pick([0, 0.25, 0.5]) },
+    return Array.from({ length: source.nextInt(MAX_CAPACITY_REDUCTIONS + 1) }, () => ({
+        startAfterMs: source.nextInt(windowMs - 1_000),
+        durationMs: 1_000 + source.nextInt(MAX_DURATION_MS - 1_000),
+        fault: { kind: "shrink", target: source.nextInt(workers), share: source.pick([0, 0.25, 0.5]) },
     }));
 }
 
-const MOST_SHRINKS = 3;
+const MAX_CAPACITY_REDUCTIONS = 3;
 
-/** Faults of store and workers that are in force. */
+/** Holds the active faults of the store and of workers. */
 export interface FaultInjector {
     readonly storeFaults: emulator.StoreFaults;
     readonly workerFaults: emulator.WorkerFaults;
-    /** Each returns what ends the fault. */
+    /** Activates a fault and returns the function that ends it, as the next two methods do. */
     addStoreFault(caller: string, share: number, fault: emulator.StoreFault): () => void;
     addWorkerFault(workerId: string, share: number, fault: emulator.OrderFault): () => void;
     addSlowness(workerId: string, factor: number): () => void;
 }
 
-/** Calls that are carried out late: up to this long after their caller has given up. */
-const LATE_MS = 2_500;
+/** A call with the fault "late" is executed up to this long after its caller has timed out. */
+const MAX_DELAY_AFTER_TIMEOUT_MS = 2_500;
 
 export function createFaultInjector(source: random.Random): FaultInjector {
-    const store = createFaults<emulator.StoreFault>(source);
-    const workers = createFaults<emulator.OrderFault>(source);
-    const slowness = new Map<string, number[]>();
+    const store = createActiveFaults<emulator.StoreFault>(source);
+    const workers = createActiveFaults<emulator.OrderFault>(source);
+    const slowdowns = new Map<string, number[]>();
     return {
-        storeFaults: { decide: caller => store.decide(caller) ?? "none", lateMs: LATE_MS },
+        storeFaults: { decide: caller => store.decide(caller) ?? "none", lateMs: MAX_DELAY_AFTER_TIMEOUT_MS },
         workerFaults: {
             decide: workerId => workers.decide(workerId) ?? "none",
-            lateMs: LATE_MS,
-            getSlowdown: workerId => Math.max(1, ...(slowness.get(workerId) ?? [])),
+            lateMs: MAX_DELAY_AFTER_TIMEOUT_MS,
+            getSlowdown: workerId => Math.max(1, ...(slowdowns.get(workerId) ?? [])),
         },
         addStoreFault: store.add,
         addWorkerFault: workers.add,
         addSlowness: (workerId, factor) => {
-            const factors = slowness.get(workerId) ?? [];
-            slowness.set(workerId, [...factors, factor]);
+            const factors = slowdowns.get(workerId) ?? [];
+            slowdowns.set(workerId, [...factors, factor]);
             return () => {
-                const left = slowness.get(workerId)!;
-                left.splice(left.indexOf(factor), 1);
+                const remaining = slowdowns.get(workerId)!;
+                remaining.splice(remaining.indexOf(factor), 1);
             };
         },
     };
 }
 
-function createFaults<T>(source: random.Random) {
-    interface Fault {
+function createActiveFaults<T>(source: random.Random) {
+    interface ActiveFault {
         readonly target: string;
         readonly share: number;
         readonly fault: T;
     }
-    const inForce = new Set<Fault>();
+    const active = new Set<ActiveFault>();
     return {
         decide: (target: string): T | undefined =>
-            [...inForce].find(item => item.target === target && source.nextFloat() < item.share)?.fault,
+            [...active].find(item => item.target === target && source.nextFloat() < item.share)?.fault,
         add: (target: string, share: number, fault: T) => {
             const item = { target, share, fault };
-            inForce.add(item);
-            return () => void inForce.delete(item);
+            active.add(item);
+            return () => void active.delete(item);
         },
     };
 }
 
-/** Begins the trouble; returns what ends it, to be called once. */
-export function injectFault(trouble: InjectedFault, site: sites.Site, board: FaultInjector): () => void {
-    switch (trouble.kind) {
+/** Injects the fault and returns the function that ends it, which is to be called once. */
+export function injectFault(fault: InjectedFault, site: sites.Site, injector: FaultInjector): () => void {
+    switch (fault.kind) {
         case "kill":
         case "terminate":
-            return forEach(pickInstances(site, trouble.target), number => {
+            return applyToAll(pickInstances(site, fault.target), number => {
                 const instance = site.instances[number]!;
-                if (trouble.kind === "kill") {
+                if (fault.kind === "kill") {
                     instance.kill();
                 }
                 else {
@@ -184,86 +184,89 @@
                 return () => undefined;
             });
         case "pause":
-            return forEach(pickInstances(site, trouble.target), number => {
+            return applyToAll(pickInstances(site, fault.target), number => {
                 site.instances[number]!.pause();
                 return () => site.instances[number]!.resume();
             });
         case "storeLink":
-            return forEach(pickInstances(site, trouble.target), number => cut(site.storeLinks[number]!, trouble.state));
+            return applyToAll(
+                pickInstances(site, fault.target),
+                number => setLinkFault(site.storeLinks[number]!, fault.state),
+            );
         case "entryLink":
-            return forEach(
-                pickInstances(site, trouble.target),
-                number => cut(site.callerLinks[number]!, trouble.state),
+            return applyToAll(
+                pickInstances(site, fault.target),
+                number => setLinkFault(site.callerLinks[number]!, fault.state),
             );
         case "workerLink":
-            return forEach(
-                pickWorkers(site, trouble.target),
-                number => cut(site.workerHosts[number]!.link, trouble.state),
+            return applyToAll(
+                pickWorkers(site, fault.target),
+                number => setLinkFault(site.workerHosts[number]!.link, fault.state),
             );
         case "slowStore":
-            return forEach(
-                pickInstances(site, trouble.target),
-                number => slow(site.storeLinks[number]!, trouble.delayMs),
+            return applyToAll(
+                pickInstances(site, fault.target),
+                number => setLinkDelay(site.storeLinks[number]!, fault.delayMs),
             );
         case "slowWorker":
-            return forEach(
-                pickWorkers(site, trouble.target),
-                number => slow(site.workerHosts[number]!.link, trouble.delayMs),
+            return applyToAll(
+                pickWorkers(site, fault.target),
+                number => setLinkDelay(site.workerHosts[number]!.link, fault.delayMs),
             );
         case "storeFault":
-            return forEach(
-                pickInstances(site, trouble.target),
-                number => board.addStoreFault(site.instances[number]!.name, trouble.share, trouble.fault),
+            return applyToAll(
+                pickInstances(site, fault.target),
+                number => injector.addStoreFault(site.instances[number]!.name, fault.share, fault.fault),
             );
         case "workerFault":
-            return forEach(
-                pickWorkerIds(site, trouble.target),
-                id => board.addWorkerFault(id, trouble.share, trouble.fault),
+            return applyToAll(
+                pickWorkerIds(site, fault.target),
+                id => injector.addWorkerFault(id, fault.share, fault.fault),
             );
         case "forgetHistory":
             site.store.discardHistory();
             return () => undefined;
         case "slowTasks":
-            return forEach(pickWorkerIds(site, trouble.target), id => board.addSlowness(id, trouble.factor));
+            return applyToAll(pickWorkerIds(site, fault.target), id => injector.addSlowness(id, fault.factor));
         case "loseWorker":
-            return forEach(pickWorkers(site, trouble.target), number => {
-                site.workerHosts[number]!.killWorker(trouble.told);
+            return applyToAll(pickWorkers(site, fault.target), number => {
+                site.workerHosts[number]!.killWorker(fault.told);
                 return () => site.workerHosts[number]!.startWorker();
             });
         case "shrink":
-            return forEach(pickWorkers(site, trouble.target), number => {
-                site.workerHosts[number]!.resize(trouble.share);
+            return applyToAll(pickWorkers(site, fault.target), number => {
+                site.workerHosts[number]!.resize(fault.share);
                 return () => site.workerHosts[number]!.resize(1);
             });
         case "drain":
-            return forEach(pickWorkers(site, trouble.target), number => {
-                const place = site.workerHosts[number]!;
-                const id = place.getWorkerId();
-                place.drain(DRAIN_REMAINING_MS);
+            return applyToAll(pickWorkers(site, fault.target), number => {
+                const host = site.workerHosts[number]!;
+                const id = host.getWorkerId();
+                host.drain(DRAIN_REMAINING_MS);
                 return () => {
-                    if (place.getWorkerId() === id) {
-                        place.killWorker(true);
-                        place.startWorker();
+                    if (host.getWorkerId() === id) {
+                        host.killWorker(true);
+                        host.startWorker();
                     }
                 };
             });
     }
 }
 
-/** Least time that a draining worker says is left. */
+/** Shortest remaining time that a draining worker reports. */
 const DRAIN_REMAINING_MS = 1_000;
 
-function forEach<T>(targets: readonly T[], start: (target: T) => () => void): () => void {
-    const ends = targets.map(start);
+function applyToAll<T>(targets: readonly T[], apply: (target: T) => () => void): () => void {
+    const ends = targets.map(apply);
     return () => ends.forEach(end => end());
 }
 
-function cut(link: links.Link, state: links.LinkState): () => void {
+function setLinkFault(link: links.Link, state: links.LinkState): () => void {
     link.setState(state);
     return () => link.setState("open");
 }
 
-function slow(link: links.Link, delayMs: number): () => void {
+function setLinkDelay(link: links.Link, delayMs: number): () => void {
     link.setDelay(delayMs);
     return () => link.setDelay(0);
 }
--- a/soak/instance.ts
+++ b/soak/instance.ts
@@ -1,4 +1,4 @@
-/** One instance of the program as a process of its own, and the signals that it gets. */
+/** Runs one instance of the program as a child process and sends it signals. */
 import * as childProcess from "node:child_process";
 import * as fs from "node:fs";
 import * as path from "node:path";
@@ -7,31 +7,32 @@
 export interface InstanceOptions {
     readonly name: string;
     readonly zone: string;
-    /** Loopback address of the instance's own interfaces. */
+    /** Loopback address on which the instance listens. */
     readonly address: string;
-    /** `IP:PORT` at which it finds the store. */
+    /** `IP:PORT` of the store. */
     readonly store: string;
-    /** For settings and output. */
+    /** Directory for the settings file and the log file. */
     readonly folder: string;
-    /** Longest lease of what runs on a worker. */
+    /** Longest lease of a task on a worker. */
     readonly maxLeaseMs: number;
 }
 
 export interface Instance {
     readonly name: string;
-    /** `IP:PORT` for callers, and of the readiness check. */
+    /** `IP:PORT` that callers connect to. */
     readonly callerAddress: string;
+    /** `IP:PORT` of the readiness check. */
     readonly readinessAddress: string;
-    /** Rises with each start. */
+    /** Counts the starts of the process. */
     getIncarnation(): number;
     isRunning(): boolean;
     start(): void;
     kill(): void;
-    /** Asks the process to end, and kills it after the grace. */
+    /** Sends SIGTERM, and SIGKILL after the grace period. */
     terminate(): void;
     pause(): void;
     resume(): void;
-    /** Resolves when no process is left. */
+    /** Kills the process and resolves when it has exited. */
     killAndWait(): Promise<void>;
 }
 
@@ -40,24 +41,24 @@
 const READINESS_PORT = 8_523;
 const WATCH_PORT = 7_000;
 const PEERS_PORT = 7_001;
-const GRACE_S = 6;
+const SHUTDOWN_GRACE_S = 6;
 const UPKEEP_S = 2;
 const STATUS_S = 120;
 const CONTACT_MS = 3_000;
 const REPORT_MS = 1_500;
 const CONFIGURATION_MS = 2_000;
 
-/** A soak that is ended early leaves no process behind. */
-const atExit = new Set<() => void>();
-process.once("exit", () => atExit.forEach(kill => kill()));
+/** Kills the instances when the soak test exits early, so that no process is left behind. */
+const killOnExit = new Set<() => void>();
+process.once("exit", () => killOnExit.forEach(kill => kill()));
 
 export function createInstance(options: InstanceOptions): Instance {
-    const settings = path.join(options.folder, `${options.name}.toml`);
-    const output = path.join(options.folder, `${options.name}.log`);
+    const settingsFile = path.join(options.folder, `${options.name}.toml`);
+    const logFile = path.join(options.folder, `${options.name}.log`);
     const callers = `${options.address}:${CALLERS_PORT}`;
     const readiness = `${options.address}:${READINESS_PORT}`;
     fs.writeFileSync(
-        settings,
+        settingsFile,
         toml.stringify({
             instance: options.name,
             zone: options.zone,
@@ -69,7 +70,7 @@
             store: options.store,
             bounds: {
                 maxLeaseMs: options.maxLeaseMs,
-                graceSeconds: GRACE_S,
+                graceSeconds: SHUTDOWN_GRACE_S,
                 upkeepSeconds: UPKEEP_S,
                 statusSeconds: STATUS_S,
                 configurationMs: CONFIGURATION_MS,
@@ -79,7 +80,7 @@
         }),
     );
     let child: childProcess.ChildProcess | undefined;
-    let life = 0;
+    let incarnation = 0;
 
     const isRunning = () =>
         child !== undefined && typeof child.exitCode !== "number" && typeof child.signalCode !== "string";
@@ -88,36 +89,36 @@
             child!.kill(name);
         }
     };
-    // A paused process dies of this signal too.
+    // SIGKILL also ends a paused process; SIGTERM would stay pending.
     const kill = () => signal("SIGKILL");
-    atExit.add(kill);
+    killOnExit.add(kill);
     return {
         name: options.name,
         callerAddress: callers,
         readinessAddress: readiness,
-        getIncarnation: () => life,
+        getIncarnation: () => incarnation,
         isRunning,
         start: () => {
             if (isRunning()) {
                 return;
             }
-            life++;
-            const log = fs.openSync(output, "a");
+            incarnation++;
+            const logFd = fs.openSync(logFile, "a");
             child = childProcess.spawn(process.execPath, ["--max-old-space-size=160", PROGRAM], {
-                env: { PLANTAINCHUTE_CONFIG: settings, PATH: process.env["PATH"] },
-                stdio: ["ignore", log, log],
+                env: { PLANTAINCHUTE_CONFIG: settingsFile, PATH: process.env["PATH"] },
+                stdio: ["ignore", logFd, logFd],
             });
-            fs.closeSync(log);
+            fs.closeSync(logFd);
         },
         kill,
         terminate: () => {
-            const ending = child;
+            const terminatedChild = child;
             signal("SIGTERM");
             setTimeout(() => {
-                if (ending === child) {
+                if (terminatedChild === child) {
                     kill();
                 }
-            }, GRACE_S * 1_000).unref();
+            }, SHUTDOWN_GRACE_S * 1_000).unref();
         },
         pause: () => signal("SIGSTOP"),
         resume: () => signal("SIGCONT"),
@@ -126,7 +127,7 @@
             if (isRunning()) {
                 await new Promise<void>(resolve => child!.once("exit", () => resolve()));
             }
-            atExit.delete(kill);
+            killOnExit.delete(kill);
         },
     };
 }
--- a/soak/link.ts
+++ b/soak/link.ts
@@ -1,25 +1,25 @@
-/** A TCP proxy on loopback whose connections can be delayed, held back one way or both, and reset. */
+/** A TCP proxy on loopback that can delay, hold and reset connections, in one direction or both. */
 import * as net from "node:net";
 
-/** What happens to bytes under way. Held bytes, and the ends of connections, arrive when the link opens again. */
+/** How the link treats traffic. Held bytes and ends of connections are delivered when the link is open again. */
 export const LinkState = {
     Open: "open",
-    /** Connections are reset, new ones at once. */
+    /** Open connections are reset, and new ones as soon as they are accepted. */
     Reset: "reset",
-    /** Nothing arrives on either side. */
+    /** Traffic is held in both directions. */
     Silent: "silent",
-    /** What clients send does not arrive. */
+    /** Traffic from clients to the server is held. */
     RequestsHeld: "requestsHeld",
-    /** What the server sends does not arrive. */
+    /** Traffic from the server to clients is held. */
     AnswersHeld: "answersHeld",
 } as const;
 export type LinkState = typeof LinkState[keyof typeof LinkState];
 
 export interface Link {
     setState(state: LinkState): void;
-    /** Each way takes so much longer, in milliseconds. */
+    /** Adds this latency to each direction, in milliseconds. */
     setDelay(ms: number): void;
-    /** Each way of each connection carries at most so much. */
+    /** Limits the bandwidth of each direction of each connection. */
     setRate(bytesPerSecond: number): void;
     close(): void;
 }
@@ -49,36 +49,36 @@
     let bytesPerSecond = Infinity;
 
     const isHeld = (direction: Direction) => HELD[state].includes(direction);
-    const join = (from: net.Socket, to: net.Socket, direction: Direction) => {
+    const pipe = (from: net.Socket, to: net.Socket, direction: Direction) => {
         const channel = createChannel(to, () => isHeld(direction), () => ({ delayMs, bytesPerSecond }));
         channels.add(channel);
         from.on("data", (chunk: Buffer) => {
-            for (let at = 0; at < chunk.length; at += SLICE_BYTES) {
-                channel.push({ kind: "bytes", bytes: chunk.subarray(at, at + SLICE_BYTES) });
+            for (let at = 0; at < chunk.length; at += MAX_CHUNK_BYTES) {
+                channel.push({ kind: "bytes", bytes: chunk.subarray(at, at + MAX_CHUNK_BYTES) });
             }
         });
         from.on("end", () => channel.push({ kind: "end" }));
         from.on("close", hadError => channel.push({ kind: "close", reset: hadError }));
         to.on("close", () => channels.delete(channel));
     };
-    const add = (socket: net.Socket) => {
+    const register = (socket: net.Socket) => {
         sockets.add(socket);
         socket.setNoDelay(true);
-        // Followed by "close", which is passed on.
+        // "close" follows, and is forwarded.
         socket.on("error", () => socket.destroy());
         socket.on("close", () => sockets.delete(socket));
     };
     const server = net.createServer({ allowHalfOpen: true }, client => {
-        add(client);
+        register(client);
         if (state === LinkState.Reset) {
             client.resetAndDestroy();
             return;
         }
         const { host, port } = parseAddress(options.target);
         const upstream = net.connect({ host, port, allowHalfOpen: true });
-        add(upstream);
-        join(client, upstream, "requests");
-        join(upstream, client, "answers");
+        register(upstream);
+        pipe(client, upstream, "requests");
+        pipe(upstream, client, "answers");
     });
     await new Promise<void>((resolve, reject) => {
         const { host, port } = parseAddress(options.listen);
@@ -112,42 +112,42 @@
     | { readonly kind: "close"; readonly reset: boolean; };
 
 const MS_PER_S = 1_000;
-/** A weak link passes bytes on little by little, not in the pieces that the sender happens to write. */
-const SLICE_BYTES = 8_192;
+/** Splits large writes, so that a link of low bandwidth delivers them gradually. */
+const MAX_CHUNK_BYTES = 8_192;
 
-interface Pace {
+interface LinkLimits {
     readonly delayMs: number;
     readonly bytesPerSecond: number;
 }
 
 interface Channel {
     push(item: Item): void;
-    /** Passes on what is due and no longer held. */
+    /** Delivers the items that are due, unless the direction is held. */
     flush(): void;
 }
 
-/** One way of one connection: what is pushed comes out in the same order. */
-function createChannel(to: net.Socket, isHeld: () => boolean, getPace: () => Pace): Channel {
-    const waiting: Array<{ readonly item: Item; readonly dueAt: number; }> = [];
+/** Creates a FIFO queue for one direction of one connection. */
+function createChannel(to: net.Socket, isHeld: () => boolean, getLimits: () => LinkLimits): Channel {
+    const queued: Array<{ readonly item: Item; readonly dueAt: number; }> = [];
     let lastDueAt = 0;
     let timer: NodeJS.Timeout | undefined;
     const flush = () => {
-        while (waiting.length > 0 && !isHeld() && waiting[0]!.dueAt <= Date.now()) {
-            passOn(to, waiting.shift()!.item);
+        while (queued.length > 0 && !isHeld() && queued[0]!.dueAt <= Date.now()) {
+            deliver(to, queued.shift()!.item);
         }
         clearTimeout(timer);
-        if (waiting.length > 0 && !isHeld()) {
-            // A timer may fire within the millisecond before what it waits for is due: it is set again then.
-            timer = setTimeout(flush, Math.max(1, waiting[0]!.dueAt - Date.now())).unref();
+        if (queued.length > 0 && !isHeld()) {
+            // A timer may fire up to a millisecond before the item is due; it is set again in that case.
+            timer = setTimeout(flush, Math.max(1, queued[0]!.dueAt - Date.now())).unref();
         }
     };
     return {
         push: item => {
-            const { delayMs, bytesPerSecond } = getPace();
+            const { delayMs, bytesPerSecond } = getLimits();
             const bytes = item.kind === "bytes" ? item.bytes.length : 0;
             lastDueAt = Math.max(lastDueAt, Date.now() + delayMs) + bytes / bytesPerSecond * MS_PER_S;
-            waiting.push({ item, dueAt: lastDueAt });
-            if (waiting.length === 1) {
+            queued.push({ item, dueAt: lastDueAt });
+            if (queued.length === 1) {
                 flush();
             }
         },
@@ -155,7 +155,7 @@
     };
 }
 
-function passOn(to: net.Socket, item: Item): void {
+function deliver(to: net.Socket, item: Item): void {
     if (to.destroyed) {
         return;
     }
--- a/soak/main.ts
+++ b/soak/main.ts
@@ -1,12 +1,12 @@
-/** `npm run soak -- --seed 1 --seeds 50`: random troubles on real processes. Exits with 1 if a promise broke. */
+/** `npm run soak -- --seed 1 --seeds 50`: injects random faults into real processes. Exits with 1 on any violation. */
 import * as commander from "commander";
 import * as fs from "node:fs";
-import * as runs from "./run";
+import * as soakRun from "./run";
 
 const SIZES = {
-    /** Jobs take two thirds of the accelerators on average; more than fits would make every job late. */
+    /** Jobs use two thirds of the accelerators on average; with more load than capacity every job would be late. */
     small: { instances: 5, workers: 9, faultCount: 12, jobsPerSecond: 1.5, otherQueues: 0 },
-    /** A link of 7 Mbit/s, as the weakest have, needs 1.5 s for such a configuration. */
+    /** A link of 7 Mbit/s, the minimum that is supported, takes 1.5 s to transfer a configuration of this size. */
     grown: {
         instances: 6,
         workers: 9,
@@ -32,22 +32,26 @@
     const options = new commander.Command("soak")
         .option("--seed <number>", "seed of the first run", "1")
         .option("--seeds <count>", "how many runs, each with the next seed", "1")
-        .option("--seconds <count>", "how long troubles come in each run", "20")
+        .option("--seconds <count>", "how long faults are injected in each run", "20")
         .addOption(
             new commander.Option("--size <size>", "size of the site").choices(Object.keys(SIZES)).default("small"),
         )
-        .option("--block <number>", "loopback addresses 127.BLOCK.*; soaks side by side need different ones", "41")
-        .option("--verbose", "print each trouble as it begins")
-        .option("--keep", "keep settings and output of the processes, also of runs without a breach")
+        .option(
+            "--block <number>",
+            "uses the loopback addresses 127.BLOCK.*; concurrent soak runs need different blocks",
+            "41",
+        )
+        .option("--verbose", "print each fault as it begins")
+        .option("--keep", "keep settings and logs of the processes, also of runs without a violation")
         .parse()
         .opts<Options>();
-    // Ends the instances on its way out.
+    // Exiting through process.exit kills the instances, see instance.ts.
     process.once("SIGTERM", () => process.exit(1));
     process.once("SIGINT", () => process.exit(1));
-    const first = Number(options.seed);
-    let broken = 0;
-    for (let seed = first; seed < first + Number(options.seeds); seed++) {
-        const report = await runs.runSoak({
+    const firstSeed = Number(options.seed);
+    let failedRuns = 0;
+    for (let seed = firstSeed; seed < firstSeed + Number(options.seeds); seed++) {
+        const report = await soakRun.runSoak({
             ...SIZES[options.size],
             seed,
             faultPhaseMs: Number(options.seconds) * 1_000,
@@ -58,20 +62,20 @@
                 }
             },
         });
-        const failed = report.violations.length > 0;
-        broken += failed ? 1 : 0;
+        const hasViolations = report.violations.length > 0;
+        failedRuns += hasViolations ? 1 : 0;
         print(
-            `seed ${seed}: ${failed ? `${report.violations.length} broken promises` : "ok"}; `
+            `seed ${seed}: ${hasViolations ? `${report.violations.length} broken promises` : "ok"}; `
                 + `${report.accepted} of ${report.jobs} jobs accepted, ${report.starts} starts`
-                + (failed ? `; output in ${report.folder}` : ""),
+                + (hasViolations ? `; output in ${report.folder}` : ""),
         );
-        report.violations.forEach(breach => print(`  ${breach}`));
-        if (!failed && !options.keep) {
+        report.violations.forEach(violation => print(`  ${violation}`));
+        if (!hasViolations && !options.keep) {
             fs.rmSync(report.folder, { recursive: true, force: true });
         }
     }
-    print(`${options.seeds} runs from seed ${first}, ${broken} with a broken promise`);
-    process.exit(broken > 0 ? 1 : 0);
+    print(`${options.seeds} runs from seed ${firstSeed}, ${failedRuns} with a broken promise`);
+    process.exit(failedRuns > 0 ? 1 : 0);
 }
 
 function print(line: string): void {
--- a/soak/operator.ts
+++ b/soak/operator.ts
@@ -1,115 +1,118 @@
-/** The operator: configurations in quick succession, and a check that no instance ever goes back to an older one. */
+/** Simulated operator: writes configurations in quick succession and checks that no instance reverts to an older one. */
 import * as standin from "../platform/standin/index";
 import type * as catalogs from "../src/catalog/index";
 import type * as clock from "../src/clock/index";
 import type * as random from "../src/random/index";
 import type * as sites from "./site";
-import type * as verdict from "./violations";
+import type * as violationChecks from "./violations";
 
 export interface Operator {
     readonly queues: readonly catalogs.Queue[];
     readonly key: string;
     readonly violations: readonly string[];
-    /** Writes configurations and asks every instance for them until the signal. */
-    run(signal: AbortSignal, calm: verdict.FaultFreeTimes): Promise<void>;
+    /** Writes configurations and polls every instance for them until the signal is aborted. */
+    run(signal: AbortSignal, faultFreeTimes: violationChecks.FaultFreeTimes): Promise<void>;
 }
 
-const CHANGE_EVERY_MS = 3_000;
-const ASK_EVERY_MS = 400;
-const PATIENCE_MS = 1_000;
-/** From the store's acknowledgement until an instance has to follow. */
-const APPLY_MS = 2_000;
-/** Timers of a busy machine, beside the bound. */
-const SLACK_MS = 500;
+const MEAN_CHANGE_INTERVAL_MS = 3_000;
+const POLL_INTERVAL_MS = 400;
+const REQUEST_TIMEOUT_MS = 1_000;
+/** Longest time from the store's acknowledgement until an instance applies a configuration. */
+const MAX_APPLY_MS = 2_000;
+/** Allowance for late timers on a busy machine. */
+const TIMER_SLACK_MS = 500;
 
-/** `otherQueues` are beside those that callers use, and make the configuration as large as on a site that has grown. */
+/**
+ * Creates the operator and writes a first configuration. `otherQueues` is the number of queues that no caller uses; they
+ * make the configuration as large as that of a large site.
+ */
 export function createOperator(
     site: sites.Site,
     time: clock.Clock,
     source: random.Random,
     otherQueues: number,
 ): Operator {
-    const client = standin.createCallerClient({ timeoutMs: PATIENCE_MS, maxConnections: 2 });
+    const client = standin.createCallerClient({ timeoutMs: REQUEST_TIMEOUT_MS, maxConnections: 2 });
     const queues = [createQueue("urgent", 0), createQueue("plan", 1), createQueue("batch", 2)];
     const others = Array.from({ length: otherQueues }, (_, number) => createQueue(`other-${number}`, 2));
     const key = `key-${source.nextInt(1e6)}`;
-    const breaches: string[] = [];
-    /** When each version was acknowledged. */
+    const violations: string[] = [];
+    /** Times at which the store acknowledged each version. */
     const acknowledgedAt = new Map<number, number>();
     let version = 0;
 
-    const change = () => {
+    const writeConfiguration = () => {
         version += 1 + source.nextInt(5);
         site.configure({
             version,
-            // The queue of each version tells which one is in force.
-            queues: [...queues, ...others, createQueue(getMark(version), 2)],
+            // Each version has a marker queue of its own, which shows whether an instance has applied that version.
+            queues: [...queues, ...others, createQueue(getMarkerQueueName(version), 2)],
             services: [{ name: "service", refusesOverload: false, spare: false }],
-            accounts: [{ name: "office", keys: [key], guaranteedAccelerators: GUARANTEED }],
+            accounts: [{ name: "office", keys: [key], guaranteedAccelerators: GUARANTEED_ACCELERATORS }],
             limits: { headerBytes: 16_384, bodyBytes: 262_144, headerTimeoutMs: 3_000, idleTimeoutMs: 15_000 },
         });
         acknowledgedAt.set(version, time.now());
     };
-    change();
-    /** Whether the instance serves the queue that only this version has; `undefined` where it does not say. */
-    const serves = async (instance: number, asked: number) => {
+    writeConfiguration();
+    /** Whether the instance serves the marker queue of this version; `undefined` if the reply does not tell. */
+    const servesVersion = async (instance: number, polledVersion: number) => {
         const reply = await client.countWaiting(
             site.instances[instance]!.callerAddress,
-            createQueue(getMark(asked), 2),
+            createQueue(getMarkerQueueName(polledVersion), 2),
             key,
         );
         return reply.kind === "unknownQueue" ? false : reply.kind === "waiting" ? true : undefined;
     };
-    const watch = async (instance: number, signal: AbortSignal, calm: verdict.FaultFreeTimes) => {
-        let newest = 0;
-        let life = 0;
+    const watch = async (instance: number, signal: AbortSignal, faultFreeTimes: violationChecks.FaultFreeTimes) => {
+        let maxServedVersion = 0;
+        let incarnation = 0;
         while (!signal.aborted) {
-            await time.sleep(ASK_EVERY_MS, signal);
-            const { getIncarnation: getLife, name } = site.instances[instance]!;
-            if (getLife() !== life) {
-                life = getLife();
-                newest = 0;
+            await time.sleep(POLL_INTERVAL_MS, signal);
+            const { getIncarnation, name } = site.instances[instance]!;
+            if (getIncarnation() !== incarnation) {
+                incarnation = getIncarnation();
+                maxServedVersion = 0;
             }
-            const asked = version;
+            const polledVersion = version;
             const sentAt = time.now();
-            const known = await serves(instance, asked);
-            if (getLife() !== life) {
+            const served = await servesVersion(instance, polledVersion);
+            if (getIncarnation() !== incarnation) {
                 continue;
             }
-            if (known) {
-                newest = Math.max(newest, asked);
+            if (served) {
+                maxServedVersion = Math.max(maxServedVersion, polledVersion);
             }
-            if (known !== false || asked !== version) {
-                // A newer one, written meanwhile, may be in force by now, and has a mark of its own.
+            if (served !== false || polledVersion !== version) {
+                // A newer version, which has another marker queue, may have been applied meanwhile.
                 continue;
             }
-            const due = acknowledgedAt.get(asked)! + APPLY_MS + SLACK_MS;
-            if (asked === newest) {
-                breaches.push(`${name} went back from configuration ${asked}`);
+            const applyDeadline = acknowledgedAt.get(polledVersion)! + MAX_APPLY_MS + TIMER_SLACK_MS;
+            if (polledVersion === maxServedVersion) {
+                violations.push(`${name} reverted to a version older than configuration ${polledVersion}`);
             }
-            else if (sentAt > due && calm.isFaultFree(due - APPLY_MS, time.now())) {
-                breaches.push(`${name} did not follow configuration ${asked} in time`);
+            else if (sentAt > applyDeadline && faultFreeTimes.isFaultFree(applyDeadline - MAX_APPLY_MS, time.now())) {
+                violations.push(`${name} did not apply configuration ${polledVersion} in time`);
             }
         }
     };
     return {
         queues,
         key,
-        violations: breaches,
-        run: async (signal, calm) => {
-            site.instances.forEach((_, number) => void watch(number, signal, calm));
+        violations,
+        run: async (signal, faultFreeTimes) => {
+            site.instances.forEach((_, number) => void watch(number, signal, faultFreeTimes));
             while (!signal.aborted) {
-                await time.sleep(source.nextExponential(CHANGE_EVERY_MS), signal);
-                change();
+                await time.sleep(source.nextExponential(MEAN_CHANGE_INTERVAL_MS), signal);
+                writeConfiguration();
             }
         },
     };
 }
 
-/** Of the account's jobs, beside which there is room for others. */
-const GUARANTEED = 16;
+/** Guarantee of the account; it leaves accelerators free for jobs that are not guaranteed. */
+const GUARANTEED_ACCELERATORS = 16;
 
-function getMark(version: number): string {
+function getMarkerQueueName(version: number): string {
     return `mark-${version}`;
 }
 
@@ -120,7 +123,7 @@
         pathPrefix: `/${name}/`,
         service: "service",
         priority,
-        // Room for the random failures of a run beside a poisoned job's.
+        // Enough attempts for random failures of a task in addition to crashes of a job that takes down its workers.
         maxAttempts: 4,
         stretch: 3,
         objectiveMs: 1_000,
--- a/soak/run.ts
+++ b/soak/run.ts
@@ -1,27 +1,27 @@
-/** One run: a site starts, serves while troubles come and go, serves in calm, and has to bring every job to its end. */
+/** One soak run: starts a site, loads it while faults are injected and afterwards, and waits until every job has ended. */
 import * as events from "node:events";
 import * as clocks from "../src/clock/index";
 import type * as emulator from "../src/emulator/index";
 import * as random from "../src/random/index";
-import * as callersOfSite from "./callers";
-import * as troubles from "./faultInjection";
-import * as balancers from "./loadBalancer";
+import * as simulatedCallers from "./callers";
+import * as faultInjection from "./faultInjection";
+import * as loadBalancers from "./loadBalancer";
 import * as operators from "./operator";
 import * as sites from "./site";
-import * as verdict from "./violations";
+import * as violationChecks from "./violations";
 
 export interface RunOptions {
     readonly seed: number;
     readonly instances: number;
     readonly workers: number;
-    /** How long troubles come. */
+    /** Length of the phase in which faults are injected. */
     readonly faultPhaseMs: number;
     readonly faultCount: number;
     readonly jobsPerSecond: number;
     readonly addressBlock: number;
-    /** Queues of the configuration beside those that callers use. */
+    /** Number of queues in the configuration that no caller uses. */
     readonly otherQueues: number;
-    /** What each connection to the store carries, but the first instance's; absent: no limit. */
+    /** Bandwidth of each connection to the store, except the first instance's; absent: no limit. */
     readonly storeBytesPerSecond?: number;
     onProgress(line: string): void;
 }
@@ -32,33 +32,33 @@
     readonly jobs: number;
     readonly accepted: number;
     readonly starts: number;
-    /** Settings and output of the processes. */
+    /** Directory with the settings files and the log files of the processes. */
     readonly folder: string;
 }
 
-/** Of the whole site, and for each instance: one takes 0.2 s of processor time, beside whatever else runs. */
-const START_WITHIN_MS = 20_000;
-const START_EACH_MS = 500;
-/** A trouble's effects are over this long after its end, when it counts for promises with a time bound. */
-const AFTERMATH_MS = 5_000;
-/** Callers come on for so long after the last trouble's aftermath. */
-const CALM_MS = 6_000;
-/** Within this time every job has to end. */
-const FINISH_WITHIN_MS = 60_000;
-const POLL_MS = 100;
+/** Time for the whole site to start, and more for each instance: one start takes 0.2 s of CPU time on a shared machine. */
+const BASE_START_TIMEOUT_MS = 20_000;
+const START_TIMEOUT_PER_INSTANCE_MS = 500;
+/** A fault may still have effects for this long after its end; checks with a time limit skip this time as well. */
+const FAULT_AFTERMATH_MS = 5_000;
+/** Callers go on submitting jobs for this long after the aftermath of the last fault. */
+const FAULT_FREE_PHASE_MS = 6_000;
+/** Every job has to end within this time after the last submission. */
+const FINISH_TIMEOUT_MS = 60_000;
+const POLL_INTERVAL_MS = 100;
 
 export async function runSoak(options: RunOptions): Promise<RunReport> {
-    const parts = await openParts(options);
-    const { site, callers, balancer } = parts;
-    const over = createController();
-    const breaches = await play(parts, options, over.signal);
-    over.abort();
+    const components = await createComponents(options);
+    const { site, callers, balancer } = components;
+    const ended = createAbortController();
+    const violations = await runPhases(components, options, ended.signal);
+    ended.abort();
     callers.close();
     balancer.close();
     await site.close();
     return {
         seed: options.seed,
-        violations: breaches,
+        violations,
         jobs: callers.records.length,
         accepted: callers.records.filter(record => record.acceptedAt !== undefined).length,
         starts: site.workers.starts.length,
@@ -66,134 +66,145 @@
     };
 }
 
-interface Parts {
+interface Components {
     readonly time: clocks.Clock;
-    readonly plan: readonly troubles.ScheduledFault[];
-    readonly board: troubles.FaultInjector;
+    readonly schedule: readonly faultInjection.ScheduledFault[];
+    readonly injector: faultInjection.FaultInjector;
     readonly site: sites.Site;
     readonly operator: operators.Operator;
-    readonly balancer: balancers.LoadBalancer;
-    readonly callers: callersOfSite.Callers;
+    readonly balancer: loadBalancers.LoadBalancer;
+    readonly callers: simulatedCallers.Callers;
 }
 
-async function openParts(options: RunOptions): Promise<Parts> {
+async function createComponents(options: RunOptions): Promise<Components> {
     const time = clocks.createSystemClock();
-    // Callers, operator and faults draw from sources of their own, so that the plan depends on the seed alone.
-    const createSource = (part: number) => random.createRandom(options.seed * SOURCES + part);
-    const troubleOptions = {
+    // Callers, operator and faults have random sources of their own, so that the schedule depends on the seed alone.
+    const createSource = (index: number) => random.createRandom(options.seed * SOURCE_COUNT + index);
+    const scheduleOptions = {
         instances: options.instances,
         workers: options.workers,
-        lastMs: options.faultPhaseMs,
+        windowMs: options.faultPhaseMs,
         count: options.faultCount,
     };
-    const plan = [
-        ...troubles.createFaultSchedule(random.createRandom(options.seed), troubleOptions),
-        ...troubles.createCapacityReductions(createSource(6), troubleOptions),
+    const schedule = [
+        ...faultInjection.createFaultSchedule(random.createRandom(options.seed), scheduleOptions),
+        ...faultInjection.createCapacityReductions(createSource(6), scheduleOptions),
     ];
-    const board = troubles.createFaultInjector(createSource(1));
+    const injector = faultInjection.createFaultInjector(createSource(1));
     const jobs = new Map<string, emulator.EmulatedJob>();
-    const idSource = createSource(0);
-    const comesBackUnderId = () => idSource.nextInt(2) === 0;
-    const site = await sites.createSite({ ...options, ...board, jobs, restartsUnderSameId: comesBackUnderId });
+    const restartSource = createSource(0);
+    const restartsUnderSameId = () => restartSource.nextInt(2) === 0;
+    const site = await sites.createSite({ ...options, ...injector, jobs, restartsUnderSameId });
     const operator = operators.createOperator(site, time, createSource(2), options.otherQueues);
-    const balancer = balancers.createLoadBalancer(site, time, createSource(3));
-    const callers = callersOfSite.createCallers({
+    const balancer = loadBalancers.createLoadBalancer(site, time, createSource(3));
+    const callers = simulatedCallers.createCallers({
         clock: time,
         source: createSource(4),
         jobSource: createSource(5),
-        poisonSource: createSource(7),
+        crashSource: createSource(7),
         balancer,
         workers: site.workers,
         queues: operator.queues,
         key: operator.key,
         jobs,
     });
-    return { time, plan, board, site, operator, balancer, callers };
+    return { time, schedule, injector, site, operator, balancer, callers };
 }
 
-/** Sources of random numbers that a run uses. */
-const SOURCES = 8;
+/** Number of random sources of a run. */
+const SOURCE_COUNT = 8;
 
-/** Returns what broke a promise. */
-async function play(parts: Parts, options: RunOptions, signal: AbortSignal): Promise<string[]> {
-    const { time, plan, site, operator, balancer, callers } = parts;
-    const slow: string[] = [];
-    const waitFor = async (what: string, withinMs: number, holds: () => boolean) => {
-        const until = time.now() + withinMs;
-        while (!holds() && time.now() < until) {
-            await time.sleep(POLL_MS);
+/** Runs all phases and returns the violations. */
+async function runPhases(components: Components, options: RunOptions, signal: AbortSignal): Promise<string[]> {
+    const { time, schedule, site, operator, balancer, callers } = components;
+    const timeouts: string[] = [];
+    const waitFor = async (activity: string, timeoutMs: number, condition: () => boolean) => {
+        const deadline = time.now() + timeoutMs;
+        while (!condition() && time.now() < deadline) {
+            await time.sleep(POLL_INTERVAL_MS);
         }
-        if (!holds()) {
-            slow.push(`${what} took longer than ${withinMs} ms`);
+        if (!condition()) {
+            timeouts.push(`${activity} took longer than ${timeoutMs} ms`);
         }
     };
     site.instances.forEach(instance => instance.start());
-    const startWithinMs = START_WITHIN_MS + options.instances * START_EACH_MS;
-    await waitFor("the start of the site", startWithinMs, () => balancer.countReady() === options.instances);
+    const startTimeoutMs = BASE_START_TIMEOUT_MS + options.instances * START_TIMEOUT_PER_INSTANCE_MS;
+    await waitFor("the start of the site", startTimeoutMs, () => balancer.countReady() === options.instances);
 
-    const calm = createCalm(plan, time.now());
-    const callersStop = createController();
-    void operator.run(signal, calm);
-    void callers.run(options.jobsPerSecond, callersStop.signal);
-    await playTroubles(parts, options.onProgress);
-    await time.sleep(AFTERMATH_MS);
-    const drains = drainOne(site, time);
-    await time.sleep(CALM_MS);
-    callersStop.abort();
-    await waitFor("the end of the last jobs", FINISH_WITHIN_MS, callers.isDone);
+    const faultFreeTimes = createFaultFreeTimes(schedule, time.now());
+    const callersStopped = createAbortController();
+    void operator.run(signal, faultFreeTimes);
+    void callers.run(options.jobsPerSecond, callersStopped.signal);
+    await injectFaults(components, options.onProgress);
+    await time.sleep(FAULT_AFTERMATH_MS);
+    const drains = drainOneWorker(site, time);
+    await time.sleep(FAULT_FREE_PHASE_MS);
+    callersStopped.abort();
+    await waitFor("the end of the last jobs", FINISH_TIMEOUT_MS, callers.isDone);
     return [
-        ...slow,
+        ...timeouts,
         ...callers.violations,
         ...operator.violations,
-        ...verdict.findViolations({ jobs: callers.records, workers: site.workers, drains, faultFreeTimes: calm }),
+        ...violationChecks.findViolations({ jobs: callers.records, workers: site.workers, drains, faultFreeTimes }),
     ];
 }
 
-/** Its signal has a listener for each caller and watcher: more than the default that is warned of. */
-function createController(): AbortController {
+/** Its signal has a listener for each caller and poll, more than the default limit of Node.js, which would log a warning. */
+function createAbortController(): AbortController {
     const controller = new AbortController();
     events.setMaxListeners(0, controller.signal);
     return controller;
 }
 
-async function playTroubles({ plan, site, board, time }: Parts, say: (line: string) => void): Promise<void> {
+async function injectFaults(
+    { schedule, site, injector, time }: Components,
+    onProgress: (line: string) => void,
+): Promise<void> {
     const startedAt = time.now();
-    const running = plan.map(async ({ at, forMs, trouble }) => {
-        await time.sleep(at);
-        say(`${Math.round(time.now() - startedAt)} ms: ${JSON.stringify(trouble)} for ${forMs} ms`);
-        const end = troubles.injectFault(trouble, site, board);
-        await time.sleep(forMs);
+    const injections = schedule.map(async ({ startAfterMs, durationMs, fault }) => {
+        await time.sleep(startAfterMs);
+        onProgress(`${Math.round(time.now() - startedAt)} ms: ${JSON.stringify(fault)} for ${durationMs} ms`);
+        const end = faultInjection.injectFault(fault, site, injector);
+        await time.sleep(durationMs);
         end();
     });
-    const restarting = restartEnded(site, time, Math.max(...plan.map(item => item.at + item.forMs)));
-    await Promise.all([...running, restarting]);
+    const restarting = restartExitedInstances(
+        site,
+        time,
+        Math.max(...schedule.map(item => item.startAfterMs + item.durationMs)),
+    );
+    await Promise.all([...injections, restarting]);
 }
 
-/** The platform starts an ended process again after a while. */
-async function restartEnded(site: sites.Site, time: clocks.Clock, forMs: number): Promise<void> {
-    const until = time.now() + forMs;
-    const start = () => site.instances.filter(instance => !instance.isRunning()).forEach(instance => instance.start());
-    while (time.now() < until) {
-        await time.sleep(RESTART_EVERY_MS);
-        start();
+/** Restarts exited instances periodically, as the platform does. */
+async function restartExitedInstances(site: sites.Site, time: clocks.Clock, durationMs: number): Promise<void> {
+    const deadline = time.now() + durationMs;
+    const startExited = () =>
+        site.instances.filter(instance => !instance.isRunning()).forEach(instance => instance.start());
+    while (time.now() < deadline) {
+        await time.sleep(RESTART_INTERVAL_MS);
+        startExited();
     }
-    start();
+    startExited();
 }
 
-const RESTART_EVERY_MS = 1_500;
+const RESTART_INTERVAL_MS = 1_500;
 
-/** A worker that drains in calm shows whether anything is started there later. */
-function drainOne(site: sites.Site, time: clocks.Clock): Array<{ lifeId: string; at: number; }> {
-    const place = site.workerHosts.at(-1)!;
-    const lifeId = place.getIncarnationId();
-    place.drain(CALM_MS);
-    return lifeId === undefined ? [] : [{ lifeId, at: time.now() }];
+/** Drains one worker while no fault is active, so that a task that starts there too late is a violation. */
+function drainOneWorker(site: sites.Site, time: clocks.Clock): Array<{ incarnationId: string; at: number; }> {
+    const workerHost = site.workerHosts.at(-1)!;
+    const incarnationId = workerHost.getIncarnationId();
+    workerHost.drain(FAULT_FREE_PHASE_MS);
+    return incarnationId === undefined ? [] : [{ incarnationId, at: time.now() }];
 }
 
-function createCalm(plan: readonly troubles.ScheduledFault[], startedAt: number): verdict.FaultFreeTimes {
-    const spans = plan.map(({ at, forMs }) => ({
-        from: startedAt + at,
-        to: startedAt + at + forMs + AFTERMATH_MS,
+function createFaultFreeTimes(
+    schedule: readonly faultInjection.ScheduledFault[],
+    startedAt: number,
+): violationChecks.FaultFreeTimes {
+    const windows = schedule.map(({ startAfterMs, durationMs }) => ({
+        from: startedAt + startAfterMs,
+        to: startedAt + startAfterMs + durationMs + FAULT_AFTERMATH_MS,
     }));
-    return { isFaultFree: (from, to) => spans.every(span => span.to <= from || span.from > to) };
+    return { isFaultFree: (from, to) => windows.every(window => window.to <= from || window.from > to) };
 }
--- a/soak/site.ts
+++ b/soak/site.ts
@@ -1,6 +1,6 @@
 /**
- * A site of real processes: instances of the program, each behind a link of its own to the store and to its callers;
- * emulated workers behind links; and a store in memory, all on loopback addresses of one block.
+ * A site of real processes: instances of the program, each with a link of its own to the store and to its callers;
+ * emulated workers behind links; and an in-memory store. All addresses are in one block of loopback addresses.
  */
 import * as fs from "node:fs";
 import * as net from "node:net";
@@ -17,30 +17,30 @@
 export interface SiteOptions {
     readonly instances: number;
     readonly workers: number;
-    /** Second number of the loopback addresses: sites that run side by side need different ones. */
+    /** Second octet of the loopback addresses; sites that run concurrently need different blocks. */
     readonly addressBlock: number;
-    /** What each connection to the store carries, but the first instance's; absent: no limit. */
+    /** Bandwidth of each connection to the store, except the first instance's; absent: no limit. */
     readonly storeBytesPerSecond?: number;
     readonly storeFaults: emulator.StoreFaults;
     readonly workerFaults: emulator.WorkerFaults;
     readonly jobs: ReadonlyMap<string, emulator.EmulatedJob>;
-    /** Whether a worker that was lost starts again under its id. */
+    /** Decides whether the worker that replaces a lost one has the same id. */
     restartsUnderSameId(): boolean;
 }
 
-/** One address at which workers live, one after another. */
+/** An address at which one worker runs at a time. */
 export interface WorkerHost {
     readonly link: links.Link;
-    /** The worker that lives there now. */
+    /** Returns the id of the current worker, if one runs. */
     getWorkerId(): string | undefined;
-    /** Of the life that goes on there now. */
+    /** Returns the id of the current worker's incarnation, if one runs. */
     getIncarnationId(): string | undefined;
     drain(remainingMs: number): void;
-    /** Changes the capacity of the life there to that share of what its place has; the directory learns of it later. */
+    /** Sets the current worker's capacity to this share of the host's; the directory learns of it with the next report. */
     resize(share: number): void;
-    /** Ends the life there; `tell` says whether the directory learns of it at once. */
-    killWorker(tell: boolean): void;
-    /** Begins a new life, if none is going on. */
+    /** Kills the current worker; `notifyDirectory` removes it from the directory at once, not after its expiry. */
+    killWorker(notifyDirectory: boolean): void;
+    /** Starts a worker unless one is running. */
     startWorker(): void;
 }
 
@@ -49,14 +49,14 @@
     readonly instances: readonly instances.Instance[];
     readonly storeLinks: readonly links.Link[];
     readonly callerLinks: readonly links.Link[];
-    /** `IP:PORT` at which callers reach each instance. */
+    /** `IP:PORT` of each instance for callers. */
     readonly callerAddresses: readonly string[];
     readonly workerHosts: readonly WorkerHost[];
     readonly store: emulator.EmulatedStore;
     readonly workers: emulator.EmulatedWorkers;
-    /** Number of the instance that holds the lead, if one does. */
+    /** Returns the index of the leader among the instances, if there is one. */
     getLeader(): number | undefined;
-    configure(config: catalogs.Catalog): void;
+    configure(catalog: catalogs.Catalog): void;
     close(): Promise<void>;
 }
 
@@ -64,21 +64,28 @@
 const WORKERS_PER_RACK = 3;
 const CAPACITY = { cpuMillis: 32_000, memoryMb: 65_536, accelerators: 8 };
 const MAX_LEASE_MS = 6_000;
-const STOP_MS = 200;
-const RESTART_MS = 2_500;
+const TASK_STOP_MS = 200;
+const CRASH_RESTART_DELAY_MS = 2_500;
 const GANG_TIMEOUT_MS = 3_000;
 const STORE_LATENCY_MS = 4;
 const WORKER_LATENCY_MS = 1;
 const STORE_PORT = 7_100;
 const WORKER_PORT = 9_000;
-const ENTRY_PORT = 8_521;
-/** What each kind of address has as its third number. */
-const Block = { Instance: 1, StoreServer: 2, StoreLink: 3, EntryLink: 4, WorkerServer: 5, WorkerLink: 6 } as const;
+const CALLER_PORT = 8_521;
+/** Third octet of each kind of loopback address. */
+const AddressBlock = {
+    Instance: 1,
+    StoreServer: 2,
+    StoreLink: 3,
+    CallerLink: 4,
+    WorkerServer: 5,
+    WorkerLink: 6,
+} as const;
 
 export async function createSite(options: SiteOptions): Promise<Site> {
     const time = clocks.createSystemClock();
     const folder = fs.mkdtempSync(path.join(os.tmpdir(), "plantainchute-soak-"));
-    const getAddress = (block: number, number: number) => `127.${options.addressBlock}.${block}.${number + 1}`;
+    const getIp = (block: number, number: number) => `127.${options.addressBlock}.${block}.${number + 1}`;
     const store = emulator.createEmulatedStore({
         clock: time,
         latencyMs: STORE_LATENCY_MS,
@@ -88,109 +95,109 @@
         clock: time,
         latencyMs: WORKER_LATENCY_MS,
         maxLeaseMs: MAX_LEASE_MS,
-        stopMs: STOP_MS,
+        stopMs: TASK_STOP_MS,
         gangTimeoutMs: GANG_TIMEOUT_MS,
         faults: options.workerFaults,
         getModel: task => emulator.createTaskModel(options.jobs, task),
-        onCrash: id => crash(id),
+        onCrash: id => handleCrash(id),
     });
-    const closers: Array<() => void> = [];
+    const cleanups: Array<() => void> = [];
     const openLink = async (listen: string, target: string) => {
         const link = await links.createLink({ listen, target });
-        closers.push(link.close);
+        cleanups.push(link.close);
         return link;
     };
     const openServer = async (server: standin.StandinServer, address: string) => {
         await server.listen(address);
-        closers.push(server.close);
+        cleanups.push(server.close);
     };
 
-    const openPlace = async (number: number): Promise<WorkerHost> => {
-        const server = `${getAddress(Block.WorkerServer, number)}:${WORKER_PORT}`;
-        const address = `${getAddress(Block.WorkerLink, number)}:${WORKER_PORT}`;
-        let lives = 0;
-        let info: leader.WorkerInfo | undefined;
+    const createWorkerHost = async (number: number): Promise<WorkerHost> => {
+        const server = `${getIp(AddressBlock.WorkerServer, number)}:${WORKER_PORT}`;
+        const address = `${getIp(AddressBlock.WorkerLink, number)}:${WORKER_PORT}`;
+        let incarnations = 0;
+        let worker: leader.WorkerInfo | undefined;
         let lastId: string | undefined;
-        const tellDirectory = ({ id }: leader.WorkerInfo) =>
+        const updateDirectory = ({ id }: leader.WorkerInfo) =>
             store.put(standin.encodeWorkerRow(workers.getInfo(id), workers.getBornAt(id)));
         await openServer(
-            standin.createWorkerServer({ port: workers.port, getWorkerId: () => info?.id }),
+            standin.createWorkerServer({ port: workers.port, getWorkerId: () => worker?.id }),
             server,
         );
         const link = await openLink(address, server);
-        const place: WorkerHost = {
+        const host: WorkerHost = {
             link,
-            getWorkerId: () => info?.id,
+            getWorkerId: () => worker?.id,
             getIncarnationId: () =>
-                info && leader.getIncarnationId({ name: info.id, startedAt: workers.getBornAt(info.id) }),
+                worker && leader.getIncarnationId({ name: worker.id, startedAt: workers.getBornAt(worker.id) }),
             drain: remainingMs => {
-                if (info && !info.draining) {
-                    workers.drain(info.id, remainingMs);
-                    info = workers.getInfo(info.id);
-                    tellDirectory(info);
+                if (worker && !worker.draining) {
+                    workers.drain(worker.id, remainingMs);
+                    worker = workers.getInfo(worker.id);
+                    updateDirectory(worker);
                 }
             },
-            killWorker: tell => {
-                if (!info) {
+            killWorker: notifyDirectory => {
+                if (!worker) {
                     return;
                 }
-                const { id } = info;
-                info = undefined;
+                const { id } = worker;
+                worker = undefined;
                 workers.kill(id, false);
-                const forget = () => {
-                    if (info?.id !== id) {
+                const removeFromDirectory = () => {
+                    if (worker?.id !== id) {
                         store.remove(standin.getWorkerRowKey(id));
                     }
                 };
-                time.setTimer(tell ? 0 : DIRECTORY_SILENCE_MS, forget);
+                time.setTimer(notifyDirectory ? 0 : DIRECTORY_EXPIRY_MS, removeFromDirectory);
             },
             resize: share => {
-                if (info) {
-                    workers.resize(info.id, scale(CAPACITY, share));
+                if (worker) {
+                    workers.resize(worker.id, scale(CAPACITY, share));
                 }
             },
             startWorker: () => {
-                if (info) {
+                if (worker) {
                     return;
                 }
                 if (lastId !== undefined && options.restartsUnderSameId()) {
                     workers.restart(lastId);
-                    info = workers.getInfo(lastId);
+                    worker = workers.getInfo(lastId);
                 }
                 else {
-                    lives++;
-                    info = createWorker(number, lives, address);
-                    workers.add(info);
+                    incarnations++;
+                    worker = createWorker(number, incarnations, address);
+                    workers.add(worker);
                 }
-                lastId = info.id;
-                tellDirectory(info);
+                lastId = worker.id;
+                updateDirectory(worker);
             },
         };
-        place.startWorker();
-        const report = () => {
-            if (info) {
-                info = workers.getInfo(info.id);
-                tellDirectory(info);
+        host.startWorker();
+        const reportWorker = () => {
+            if (worker) {
+                worker = workers.getInfo(worker.id);
+                updateDirectory(worker);
             }
         };
-        const reporting = setInterval(report, REPORT_EVERY_MS);
-        closers.push(() => clearInterval(reporting));
-        return place;
+        const reportTimer = setInterval(reportWorker, REPORT_INTERVAL_MS);
+        cleanups.push(() => clearInterval(reportTimer));
+        return host;
     };
-    /** A task has taken the worker down; another life begins there some seconds later. */
-    const crash = (id: string) => {
-        const place = places.find(candidate => candidate.getWorkerId() === id);
-        place?.killWorker(false);
-        time.setTimer(RESTART_MS, () => place?.startWorker());
+    /** Handles a worker that was crashed by a task: the host starts another one some seconds later. */
+    const handleCrash = (id: string) => {
+        const host = workerHosts.find(candidate => candidate.getWorkerId() === id);
+        host?.killWorker(false);
+        time.setTimer(CRASH_RESTART_DELAY_MS, () => host?.startWorker());
     };
-    const places: readonly WorkerHost[] = await Promise.all(range(options.workers).map(openPlace));
+    const workerHosts: readonly WorkerHost[] = await Promise.all(range(options.workers).map(createWorkerHost));
 
     const openInstance = async (number: number) => {
         const name = `instance-${number}`;
-        await checkFree(`${getAddress(Block.Instance, number)}:${ENTRY_PORT}`);
-        const server = `${getAddress(Block.StoreServer, number)}:${STORE_PORT}`;
-        const storeAddress = `${getAddress(Block.StoreLink, number)}:${STORE_PORT}`;
-        const entry = `${getAddress(Block.EntryLink, number)}:${ENTRY_PORT}`;
+        await assertNotListening(`${getIp(AddressBlock.Instance, number)}:${CALLER_PORT}`);
+        const server = `${getIp(AddressBlock.StoreServer, number)}:${STORE_PORT}`;
+        const storeAddress = `${getIp(AddressBlock.StoreLink, number)}:${STORE_PORT}`;
+        const callerAddress = `${getIp(AddressBlock.CallerLink, number)}:${CALLER_PORT}`;
         await openServer(standin.createStoreServer(store.open(name)), server);
         const storeLink = await openLink(storeAddress, server);
         if (options.storeBytesPerSecond !== undefined && number > 0) {
@@ -199,12 +206,17 @@
         const instance = instances.createInstance({
             name,
             zone: ZONES[number % ZONES.length]!,
-            address: getAddress(Block.Instance, number),
+            address: getIp(AddressBlock.Instance, number),
             store: storeAddress,
             folder,
             maxLeaseMs: MAX_LEASE_MS,
         });
-        return { instance, storeLink, entry, entryLink: await openLink(entry, instance.callerAddress) };
+        return {
+            instance,
+            storeLink,
+            callerAddress,
+            callerLink: await openLink(callerAddress, instance.callerAddress),
+        };
     };
     const opened = await Promise.all(range(options.instances).map(openInstance));
 
@@ -212,39 +224,39 @@
         folder,
         instances: opened.map(item => item.instance),
         storeLinks: opened.map(item => item.storeLink),
-        callerLinks: opened.map(item => item.entryLink),
-        callerAddresses: opened.map(item => item.entry),
-        workerHosts: places,
+        callerLinks: opened.map(item => item.callerLink),
+        callerAddresses: opened.map(item => item.callerAddress),
+        workerHosts,
         store,
         workers,
         getLeader: () => findLeader(store, opened.map(item => item.instance.name)),
-        configure: config => store.put(standin.encodeConfigurationRow(config)),
+        configure: catalog => store.put(standin.encodeConfigurationRow(catalog)),
         close: async () => {
             await Promise.all(opened.map(item => item.instance.killAndWait()));
-            closers.forEach(close => close());
+            cleanups.forEach(close => close());
         },
     };
 }
 
-/** What an earlier soak left behind would be taken for this one's instances. */
-function checkFree(address: string): Promise<void> {
+/** Rejects if a process listens on the address; a leftover of an earlier run would be mistaken for an instance. */
+function assertNotListening(address: string): Promise<void> {
     const separator = address.lastIndexOf(":");
     const socket = net.connect(Number(address.slice(separator + 1)), address.slice(0, separator));
     return new Promise((resolve, reject) => {
         socket.once("error", () => resolve());
         socket.once("connect", () => {
             socket.destroy();
-            reject(new Error(`somebody listens on ${address}: another soak with the same --block?`));
+            reject(new Error(`${address} is in use, perhaps by another soak run with the same --block`));
         });
     });
 }
 
-/** A worker tells of itself so often; a capacity that has changed shows then. */
-const REPORT_EVERY_MS = 1_500;
-/** A worker that falls silent leaves the directory after three of its heartbeats. */
-const DIRECTORY_SILENCE_MS = 4_500;
+/** Interval of a worker's reports to the directory, which carry its capacity. */
+const REPORT_INTERVAL_MS = 1_500;
+/** The directory removes a worker after three missed heartbeats. */
+const DIRECTORY_EXPIRY_MS = 4_500;
 
-/** The holder as the row of the lease names it. */
+/** Returns the index of the instance that the row of the leader lease names as its holder. */
 function findLeader(store: emulator.EmulatedStore, names: readonly string[]): number | undefined {
     const lease = store.getRows("lead").find(row => row.key === "lease");
     const holder = lease && (JSON.parse(lease.value) as { instance: string; }).instance;
@@ -252,10 +264,10 @@
     return number < 0 ? undefined : number;
 }
 
-function createWorker(number: number, life: number, address: string): leader.WorkerInfo {
+function createWorker(number: number, incarnation: number, address: string): leader.WorkerInfo {
     const rack = `r${Math.floor(number / WORKERS_PER_RACK)}`;
     return {
-        id: `worker-${number}-${life}`,
+        id: `worker-${number}-${incarnation}`,
         address,
         zone: ZONES[number % ZONES.length]!,
         service: "service",
--- a/soak/violations.ts
+++ b/soak/violations.ts
@@ -1,68 +1,73 @@
 /**
- * What callers and workers have seen, and what of it breaks a promise.
+ * Checks what callers and workers have observed during a run for violations of the software's guarantees.
  *
- * Promises with a time bound are checked only where no trouble was near: in trouble their bounds are longer, and an
- * order that a link has held back may be carried out long after it was given.
+ * Guarantees with a time limit are checked only where no fault was active or had just ended: during faults their limits
+ * are longer, and a command that a link has held may be executed long after it was sent.
  */
 import * as emulator from "../src/emulator/index";
 
-/** What a caller knows of a job that it has handed in. */
+/** What a caller has observed of a job that it has submitted. */
 export interface JobRecord {
     readonly job: emulator.EmulatedJob;
-    /** Each attempt to hand it in was turned away, and none is open. */
+    /** Every attempt to submit the job was refused, and none was left without a clear answer. */
     refused: boolean;
     acceptedAt: number | undefined;
-    /** When the caller asked to cancel it, and when that was acknowledged. */
+    /** When the caller first sent a cancellation. */
     cancelSentAt: number | undefined;
+    /** When the cancellation was acknowledged. */
     cancelledAt: number | undefined;
-    /** The last state that was shown. */
+    /** The last state that was reported to the caller. */
     state: string | undefined;
 }
 
 export interface FaultFreeTimes {
-    /** Whether no trouble was in force, or had been shortly before, in that span. */
+    /** Whether no fault was active between the two times or had ended shortly before them. */
     isFaultFree(from: number, to: number): boolean;
 }
 
 export interface RunObservations {
     readonly jobs: readonly JobRecord[];
     readonly workers: emulator.EmulatedWorkers;
-    readonly drains: ReadonlyArray<{ readonly lifeId: string; readonly at: number; }>;
+    readonly drains: ReadonlyArray<{ readonly incarnationId: string; readonly at: number; }>;
     readonly faultFreeTimes: FaultFreeTimes;
 }
 
-/** After the acknowledgement of a cancellation no task of the job starts. */
-const CANCEL_MS = 3_000;
-/** After a worker has said that it drains nothing starts there. */
-const DRAIN_MS = 2_000;
-/** Timers of a busy machine, beside the bounds. */
-const SLACK_MS = 500;
+/** A task of a cancelled job may still start within this time after the acknowledgement. */
+const MAX_CANCEL_MS = 3_000;
+/** A task may still start on a worker within this time after the worker has reported that it drains. */
+const MAX_DRAIN_NOTICE_MS = 2_000;
+/** Allowance for late timers on a busy machine. */
+const TIMER_SLACK_MS = 500;
 
-/** Breaches in words; empty when every promise was kept. */
+/** Returns a description of each violation. */
 export function findViolations(input: RunObservations): string[] {
     return [
         ...input.workers.breaches,
-        ...input.jobs.flatMap(record => checkJob(record, input.workers)),
-        ...checkCancelled(input),
-        ...checkShrunk(input),
-        ...checkDrained(input),
+        ...input.jobs.flatMap(record => checkFinalState(record, input.workers)),
+        ...checkStartsAfterCancellation(input),
+        ...checkStartsOverCapacity(input),
+        ...checkStartsOnDrainingWorkers(input),
         ...input.workers.aloneEnds
             .filter(end =>
-                input.faultFreeTimes.isFaultFree(end.at - GANG_MS, end.at) && !isNearLoss(end.at, input.workers)
+                input.faultFreeTimes.isFaultFree(end.at - MAX_GANG_WAIT_MS, end.at)
+                && !isSoonAfterWorkerLoss(end.at, input.workers)
             )
-            .map(end => `${end.task} run ${end.run} waited in vain for the rest of its gang`),
+            .map(end => `${end.task} run ${end.run} ended because the rest of its gang did not start in time`),
     ];
 }
 
-/** A task may have taken the worker of a gang's other member down. */
-function isNearLoss(at: number, workers: emulator.EmulatedWorkers): boolean {
-    return workers.lossTimes.some(lostAt => lostAt <= at && lostAt > at - GANG_MS);
+/** Whether a worker was lost shortly before; the lost worker may have run another member of the gang. */
+function isSoonAfterWorkerLoss(at: number, workers: emulator.EmulatedWorkers): boolean {
+    return workers.lossTimes.some(lostAt => lostAt <= at && lostAt > at - MAX_GANG_WAIT_MS);
 }
 
-/** From the start of a gang's first member to its end as "alone". */
-const GANG_MS = 5_000;
+/** Longest time from the start of a gang's first member until it ends as "alone". */
+const MAX_GANG_WAIT_MS = 5_000;
 
-/** A state that contradicts what has ended; to be asked at the moment at which the state is shown. */
+/**
+ * Returns a violation if the reported state contradicts the tasks that have ended so far. To be called at the moment at
+ * which the state is reported.
+ */
 export function checkReportedState(record: JobRecord, state: string, workers: emulator.EmulatedWorkers): string[] {
     if (state !== "completed") {
         return [];
@@ -70,14 +75,14 @@
     const { job } = record;
     return listTasks(job)
         .filter(task => !workers.doneCounts.has(task))
-        .map(task => `job ${job.jobId} is shown as completed, but ${task} has not ended well`);
+        .map(task => `job ${job.jobId} is reported as completed, but task ${task} has not succeeded`);
 }
 
-function checkJob(record: JobRecord, workers: emulator.EmulatedWorkers): string[] {
+function checkFinalState(record: JobRecord, workers: emulator.EmulatedWorkers): string[] {
     const { job } = record;
     if (record.refused) {
         const ran = workers.starts.find(start => start.task.startsWith(`${job.jobId}.`));
-        return ran ? [`${ran.task} ran, but each attempt to hand its job in was turned away`] : [];
+        return ran ? [`${ran.task} ran, but every submission of its job was refused`] : [];
     }
     if (record.acceptedAt === undefined) {
         return [];
@@ -85,13 +90,13 @@
     const expected = record.cancelSentAt === undefined
         ? emulator.getExpectedStates(job)
         : ["cancelled", "completed", "failed"];
-    const isGivenUp = record.state === "failed" && emulator.mayFailByCrashes(job, workers.lossCounts);
-    return record.state !== undefined && (expected.includes(record.state) || isGivenUp)
+    const mayHaveFailedByCrashes = record.state === "failed" && emulator.mayFailByCrashes(job, workers.lossCounts);
+    return record.state !== undefined && (expected.includes(record.state) || mayHaveFailedByCrashes)
         ? []
-        : [`job ${job.jobId} is ${record.state ?? "not shown"}, not ${expected.join(" or ")}`];
+        : [`job ${job.jobId} is ${record.state ?? "not reported"}, not ${expected.join(" or ")}`];
 }
 
-function checkCancelled({ jobs, workers, faultFreeTimes: calm }: RunObservations): string[] {
+function checkStartsAfterCancellation({ jobs, workers, faultFreeTimes: faultFreeTimes }: RunObservations): string[] {
     return jobs.flatMap(record => {
         const { cancelledAt } = record;
         if (cancelledAt === undefined) {
@@ -99,30 +104,38 @@
         }
         return workers.starts
             .filter(start => start.task.startsWith(`${record.job.jobId}.`))
-            .filter(start => start.at > cancelledAt + CANCEL_MS + SLACK_MS && calm.isFaultFree(cancelledAt, start.at))
+            .filter(start =>
+                start.at > cancelledAt + MAX_CANCEL_MS + TIMER_SLACK_MS
+                && faultFreeTimes.isFaultFree(cancelledAt, start.at)
+            )
             .map(start =>
                 `${start.task} run ${start.run} started ${Math.round(start.at - cancelledAt)} ms after the cancellation`
             );
     });
 }
 
-/** A start that a link has held up goes by what its worker had said before. */
-function checkShrunk({ workers, faultFreeTimes: calm }: RunObservations): string[] {
+/** A start that a link has delayed may rely on a capacity that the worker had reported before. */
+function checkStartsOverCapacity({ workers, faultFreeTimes: faultFreeTimes }: RunObservations): string[] {
     return workers.shrunkStarts
-        .filter(start => calm.isFaultFree(start.at - SHRINK_MS, start.at))
-        .map(start => `${start.task} started on ${start.workerId} over a capacity that had shrunk`);
+        .filter(start => faultFreeTimes.isFaultFree(start.at - MAX_STALE_CAPACITY_MS, start.at))
+        .map(start => `${start.task} started on ${start.workerId} beyond its reduced capacity`);
 }
 
-/** From a report that a link has held up until nothing counts on it any more. */
-const SHRINK_MS = 10_000;
+/** Longest time for which a capacity report that a link has delayed may still be relied on. */
+const MAX_STALE_CAPACITY_MS = 10_000;
 
-function checkDrained({ drains, workers, faultFreeTimes: calm }: RunObservations): string[] {
+function checkStartsOnDrainingWorkers({ drains, workers, faultFreeTimes: faultFreeTimes }: RunObservations): string[] {
     return drains.flatMap(drain =>
         workers.starts
-            .filter(start => start.incarnationId === drain.lifeId)
-            .filter(start => start.at > drain.at + DRAIN_MS + SLACK_MS && calm.isFaultFree(drain.at, start.at))
+            .filter(start => start.incarnationId === drain.incarnationId)
+            .filter(start =>
+                start.at > drain.at + MAX_DRAIN_NOTICE_MS + TIMER_SLACK_MS
+                && faultFreeTimes.isFaultFree(drain.at, start.at)
+            )
             .map(start =>
-                `${start.task} started on ${drain.lifeId} ${Math.round(start.at - drain.at)} ms after it began to drain`
+                `${start.task} started on ${drain.incarnationId} ${
+                    Math.round(start.at - drain.at)
+                } ms after it began to drain`
             )
     );
 }
