--- a/standins/cli/index.ts
+++ b/standins/cli/index.ts
@@ -1,2 +1,2 @@
-/** Commands that need the stand-ins: `standin` and `demo`. */
+/** Commands that use the stand-ins: `standin` and `demo`. */
 export { register } from "./standinCommands";
--- a/standins/cli/standinCommands.ts
+++ b/standins/cli/standinCommands.ts
@@ -1,3 +1,4 @@
+/** The commands `standin platform`, `standin worker` and `demo`. */
 import * as commander from "commander";
 import * as fs from "node:fs";
 import * as toml from "smol-toml";
@@ -13,8 +14,9 @@
 
 const platformSchema = z.strictObject({
     listen: z.string().default("127.0.0.1:7000"),
-    /** How old the membership list is that readers get. */
+    /** Age of the membership list that readers get. */
     lagMs: z.number().int().min(0).default(2000),
+    /** Time after which an entry that is not announced again is removed. */
     expiryMs: z.number().int().min(1).default(5000),
     faults: platform.platformFaultsSchema.partial().default({}),
 });
@@ -22,9 +24,9 @@
 const workerSchema = z.strictObject({
     capacity: configuration.capacitySchema,
     checkpointMs: z.number().int().min(0).default(200),
-    /** Several workers may share a process. Their commands name them by address. */
+    /** The workers of this process; each listens on an address of its own. */
     workers: z.array(z.strictObject({ id: z.string(), zone: z.string(), listen: z.string() })).min(1),
-    /** Origin of the platform to announce the workers at; without it they are not listed. */
+    /** Origin of the platform that the workers are announced to; without it they are not announced. */
     platform: z.string().optional(),
     faults: platform.workerFaultsSchema.partial().default({}),
 });
@@ -42,8 +44,9 @@
 
 const INCARNATION = 1;
 
+/** Adds the commands of the stand-ins to the program. */
 export function register(program: commander.Command): void {
-    const standin = program.command("standin").description("stand-ins for what surrounds the product");
+    const standin = program.command("standin").description("stand-ins for the platform and its workers");
     standin.command("platform").description("table service, object store and membership list")
         .requiredOption("--config <file>", "settings").action(runPlatform);
     standin.command("worker").description("one or more workers").requiredOption("--config <file>", "settings").action(
@@ -51,10 +54,12 @@
     );
     program
         .command("demo")
-        .description("a whole site in this process, under a mixed load, judged from outside")
+        .description(
+            "runs a whole site under a mixed load in this process and counts violations from workers' and callers' records",
+        )
         .addOption(new commander.Option("--deployment <name>").choices(["cedarflue", "breizh"]).default("cedarflue"))
-        .option("--seconds <s>", "how long to send load", Number, 15)
-        .option("--seed <n>", "seed of the random numbers", Number, 1)
+        .option("--seconds <s>", "how long to send load, in seconds", Number, 15)
+        .option("--seed <n>", "seed of the random number generator", Number, 1)
         .option("--scale <x>", "multiplies all rates", Number, 1)
         .option("--json", "end with one JSON object")
         .action(runDemo);
@@ -73,8 +78,8 @@
 }
 
 function splitAddress(address: string): { host: string; port: number; } {
-    const separator = address.lastIndexOf(":");
-    return { host: address.slice(0, separator), port: Number(address.slice(separator + 1)) };
+    const colon = address.lastIndexOf(":");
+    return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
 }
 
 async function runPlatform(options: ConfigOptions): Promise<void> {
@@ -146,9 +151,9 @@
             options,
         );
         process.stdout.write(
-            site.hasNoViolations(summary) ? "every promise was kept\n" : "A PROMISE WAS BROKEN: see the counts above\n",
+            site.hasNoViolations(summary) ? "no violations\n" : "VIOLATIONS FOUND: see the counts above\n",
         );
     }
-    // Sockets of callers that keep their connections open would hold the process.
+    // Keep-alive connections of callers would otherwise keep the process running.
     process.exit(site.hasNoViolations(summary) ? 0 : 1);
 }
--- a/standins/httpServer.ts
+++ b/standins/httpServer.ts
@@ -4,11 +4,12 @@
 
 export interface StandinResponse {
     readonly status: number;
-    /** Sent as JSON unless it is bytes. `undefined` cuts the connection without an answer. */
+    /** A `Uint8Array` is sent as it is, any other value as JSON. */
     readonly body: unknown;
     readonly headers?: Readonly<Record<string, string>>;
 }
 
+/** Handles one request; `undefined` closes the connection without a response. */
 export type StandinHandler = (method: string, path: string, body: Buffer) => Promise<StandinResponse | undefined>;
 
 export interface StandinServer {
@@ -16,7 +17,7 @@
     close(): Promise<void>;
 }
 
-/** Listens on `host:port`; port 0 takes a free one. A handler that resolves to `undefined` cuts the connection. */
+/** Listens on `host:port`; port 0 takes a free one. An error of the handler is sent as status 400. */
 export async function startServer(host: string, port: number, handler: StandinHandler): Promise<StandinServer> {
     const server = http.createServer((req, res) => {
         const chunks: Buffer[] = [];
@@ -24,8 +25,8 @@
         req.on("error", () => undefined);
         req.on("end", () => {
             handler(req.method ?? "GET", req.url ?? "/", Buffer.concat(chunks)).then(
-                answer => sendAnswer(req, res, answer),
-                err => sendAnswer(req, res, { status: 400, body: { message: String(err) } }),
+                response => sendResponse(req, res, response),
+                err => sendResponse(req, res, { status: 400, body: { message: String(err) } }),
             );
         });
     });
@@ -44,17 +45,21 @@
     };
 }
 
-function sendAnswer(req: http.IncomingMessage, res: http.ServerResponse, answer: StandinResponse | undefined): void {
-    if (!answer) {
+function sendResponse(
+    req: http.IncomingMessage,
+    res: http.ServerResponse,
+    response: StandinResponse | undefined,
+): void {
+    if (!response) {
         req.socket.destroy();
         return;
     }
-    const isBytes = answer.body instanceof Uint8Array;
-    const payload = isBytes ? answer.body as Uint8Array : Buffer.from(JSON.stringify(answer.body));
-    res.writeHead(answer.status, {
+    const isBytes = response.body instanceof Uint8Array;
+    const payload = isBytes ? response.body as Uint8Array : Buffer.from(JSON.stringify(response.body));
+    res.writeHead(response.status, {
         "content-type": isBytes ? "application/octet-stream" : "application/json",
         "content-length": String(payload.length),
-        ...answer.headers,
+        ...response.headers,
     });
     res.end(payload);
 }
--- a/standins/platform/__tests__/contract.test.ts
+++ b/standins/platform/__tests__/contract.test.ts
@@ -1,4 +1,4 @@
-/** The contract of the platform's services, run against the embedded stand-in and against its HTTP form through the client. */
+/** Contract tests of the platform's services, run against the embedded stand-in and through the HTTP client and server. */
 import * as platform from "../../../src/backing/index";
 import * as clock from "../../../src/clock/index";
 import * as random from "../../../src/random/index";
@@ -59,7 +59,7 @@
     const put = (key: string, value: string | undefined, expectedVersion: number) =>
         subject.services.table.transact([{ key, value, expectedVersion }]);
 
-    test("a write takes effect only over the expected version, and versions only rise", async () => {
+    test("a write takes effect only if the row has the expected version, and versions only increase", async () => {
         const first = await put("a", "1", 0);
         expect(first.kind).toBe("committed");
         expect(await put("a", "2", 0)).toEqual({ kind: "conflict" });
@@ -69,7 +69,7 @@
         expect(platform.isCommitted(again) && again.versions[0]! > version).toBe(true);
     });
 
-    test("a transaction writes all or nothing", async () => {
+    test("a transaction writes all rows or none", async () => {
         await put("b", "1", 0);
         const written = await subject.services.table.transact([
             { key: "c", value: "1", expectedVersion: 0 },
@@ -92,14 +92,14 @@
         expect(secondPage.kind === "read" && secondPage.value.map(row => row.key)).toEqual(["q/3"]);
     });
 
-    test("objects come back as they were", async () => {
+    test("an object is read as it was written", async () => {
         expect(await subject.services.objects.put("result/x.1", Buffer.from([0, 255, 10]))).toBe(true);
         const found = await subject.services.objects.get("result/x.1");
         expect(found.kind === "found" && [...found.body]).toEqual([0, 255, 10]);
         expect(await subject.services.objects.get("absent")).toEqual({ kind: "absent" });
     });
 
-    test("the membership list shows what was announced", async () => {
+    test("the membership list contains announced instances", async () => {
         const entry = { id: "i1", zone: "z", peerAddress: "127.0.0.1:1", state: "leaving" } as const;
         expect(await subject.services.membership.announce(entry)).toBe(true);
         expect(await subject.services.membership.list()).toEqual({ instances: [entry], workers: [] });
@@ -109,23 +109,23 @@
         { name: "reads", call: () => subject.services.table.get(["a"]), seen: { kind: "unavailable" } },
         { name: "scans", call: () => subject.services.table.scan("", "", 1), seen: { kind: "unavailable" } },
         { name: "objects", call: () => subject.services.objects.get("a"), seen: { kind: "unavailable" } },
-    ])("while it is down, $name say so", async ({ call, seen }) => {
+    ])("while the platform is down, $name report it as unavailable", async ({ call, seen }) => {
         subject.embedded.setFaults({ down: true });
         expect(await call()).toMatchObject(seen);
         expect(await subject.services.membership.list()).toBeUndefined();
         expect(await subject.services.objects.put("a", Buffer.from("x"))).toBe(false);
     });
 
-    test("a write whose answer is lost is reported as unknown, though it took effect", async () => {
-        // Symptom: a job reported as "not run" that runs. Sequence: the write is executed, the connection breaks before the
-        // answer. Cause: taking a missing answer for a failed write.
+    test("a write whose response is lost is reported as unknown, although it took effect", async () => {
+        // The write is executed and the connection breaks before the response. If a missing response counted as a failed
+        // write, a job would be reported as "not run" although it runs.
         subject.embedded.setFaults({ loseAnswers: 1 });
         expect((await put("lost", "1", 0)).kind).toBe("unknown");
         expect(await subject.services.table.get(["lost"])).toMatchObject({ value: [{ value: "1" }] });
     });
 });
 
-test("a service that cannot be connected to has not executed the write", async () => {
+test("a write to a service that refuses the connection is reported as not executed", async () => {
     const client = platform.createHttpPlatform({ origin: "http://127.0.0.1:1", timeoutMs: 500, connections: 1 });
     const written = await client.table.transact([{ key: "a", value: "1", expectedVersion: 0 }]);
     expect(written.kind).toBe("unavailable");
--- a/standins/platform/embeddedPlatform.ts
+++ b/standins/platform/embeddedPlatform.ts
@@ -1,4 +1,4 @@
-/** The stand-in platform as an object in the same process, with faults; the server and the tests share it. */
+/** The in-process stand-in for the platform, with faults. The HTTP server and the tests use it. */
 import type * as platform from "../../src/backing/index";
 import type * as clock from "../../src/clock/index";
 import type * as random from "../../src/random/index";
@@ -16,7 +16,9 @@
 export interface EmbeddedPlatformOptions {
     readonly clock: clock.Clock;
     readonly rng: random.Random;
+    /** Age of the membership list that readers get. */
     readonly lagMs: number;
+    /** Time after which an entry that is not announced again is removed. */
     readonly expiryMs: number;
 }
 
@@ -24,16 +26,17 @@
     const store = tableStore.createTableStore();
     const members = membershipStore.createMembershipStore(options.clock, options.lagMs, options.expiryMs);
     const objects = new Map<string, Uint8Array>();
-    let current = faults.platformFaultsSchema.parse({});
+    let activeFaults = faults.platformFaultsSchema.parse({});
 
-    const answer = async <T>(execute: () => T): Promise<T | undefined> => {
-        if (current.slowMs > 0) {
-            await options.clock.sleep(current.slowMs);
+    /** Executes a call; `undefined` while the platform is down. */
+    const runCall = async <T>(execute: () => T): Promise<T | undefined> => {
+        if (activeFaults.slowMs > 0) {
+            await options.clock.sleep(activeFaults.slowMs);
         }
-        return current.down ? undefined : execute();
+        return activeFaults.down ? undefined : execute();
     };
     const read = async <T>(execute: () => T): Promise<platform.ReadResult<T>> => {
-        const value = await answer(execute);
+        const value = await runCall(execute);
         return value === undefined ? { kind: "unavailable", message: "down" } : { kind: "read", value };
     };
 
@@ -41,27 +44,27 @@
         store,
         members,
         setFaults: changed => {
-            current = faults.platformFaultsSchema.parse({ ...current, ...changed });
+            activeFaults = faults.platformFaultsSchema.parse({ ...activeFaults, ...changed });
         },
-        getFaults: () => current,
+        getFaults: () => activeFaults,
         table: {
             get: keys => read(() => store.get(keys)),
             scan: (prefix, after, limit) => read(() => store.scan(prefix, after, limit)),
             transact: async writes => {
-                const answered = await answer(() => ({ versions: store.transact(writes) }));
-                if (!answered) {
+                const outcome = await runCall(() => ({ versions: store.transact(writes) }));
+                if (!outcome) {
                     return { kind: "unavailable", message: "down" };
                 }
-                if (current.loseAnswers > 0 && options.rng.nextFloat() < current.loseAnswers) {
+                if (activeFaults.loseAnswers > 0 && options.rng.nextFloat() < activeFaults.loseAnswers) {
                     return { kind: "unknown", message: "answer lost" };
                 }
-                return answered.versions ? { kind: "committed", versions: answered.versions } : { kind: "conflict" };
+                return outcome.versions ? { kind: "committed", versions: outcome.versions } : { kind: "conflict" };
             },
         },
         objects: {
-            put: async (key, body) => await answer(() => !!objects.set(key, body)) ?? false,
+            put: async (key, body) => await runCall(() => !!objects.set(key, body)) ?? false,
             get: async key => {
-                const found = await answer(() => ({ body: objects.get(key) }));
+                const found = await runCall(() => ({ body: objects.get(key) }));
                 if (!found) {
                     return { kind: "unavailable" };
                 }
@@ -69,10 +72,10 @@
             },
         },
         membership: {
-            list: () => answer(() => members.getSnapshot()),
+            list: () => runCall(() => members.getSnapshot()),
             announce: async entry => {
-                await answer(() => members.announce({ kind: "instance", ...entry }));
-                return !current.down;
+                await runCall(() => members.announce({ kind: "instance", ...entry }));
+                return !activeFaults.down;
             },
         },
     };
--- a/standins/platform/membershipStore.ts
+++ b/standins/platform/membershipStore.ts
@@ -1,4 +1,4 @@
-/** A membership list that lags: readers see the state of `lagMs` ago; entries that are not repeated expire. */
+/** A membership list with a propagation delay: readers see the state of `lagMs` ago, and entries that are not renewed expire. */
 import type * as platform from "../../src/backing/index";
 import type * as clock from "../../src/clock/index";
 
@@ -15,25 +15,25 @@
     getSnapshot(): platform.MembershipSnapshot;
 }
 
-interface Listed {
+interface StoredEntry {
     readonly entry: Announcement;
-    readonly firstAt: number;
-    readonly stateAt: number;
-    readonly lastAt: number;
+    readonly firstAnnouncedAt: number;
+    readonly stateChangedAt: number;
+    readonly lastAnnouncedAt: number;
     readonly previousState: platform.InstanceState;
 }
 
 export function createMembershipStore(time: clock.Clock, lagMs: number, expiryMs: number): MembershipStore {
-    const listed = new Map<string, Listed>();
+    const entries = new Map<string, StoredEntry>();
     const getVisible = () => {
         const now = time.now();
         const visible: Announcement[] = [];
-        for (const [key, item] of listed) {
-            if (now - item.lastAt > expiryMs + lagMs) {
-                listed.delete(key);
+        for (const [key, item] of entries) {
+            if (now - item.lastAnnouncedAt > expiryMs + lagMs) {
+                entries.delete(key);
             }
-            else if (now - item.firstAt >= lagMs) {
-                const state = now - item.stateAt >= lagMs ? item.entry.state : item.previousState;
+            else if (now - item.firstAnnouncedAt >= lagMs) {
+                const state = now - item.stateChangedAt >= lagMs ? item.entry.state : item.previousState;
                 visible.push({ ...item.entry, state });
             }
         }
@@ -43,13 +43,13 @@
         announce: entry => {
             const now = time.now();
             const key = `${entry.kind}/${entry.id}`;
-            const known = listed.get(key);
+            const known = entries.get(key);
             const changed = known && known.entry.state !== entry.state;
-            listed.set(key, {
+            entries.set(key, {
                 entry,
-                firstAt: known?.firstAt ?? now,
-                stateAt: known && !changed ? known.stateAt : now,
-                lastAt: now,
+                firstAnnouncedAt: known?.firstAnnouncedAt ?? now,
+                stateChangedAt: known && !changed ? known.stateChangedAt : now,
+                lastAnnouncedAt: now,
                 previousState: changed ? known.entry.state : known?.previousState ?? entry.state,
             });
         },
--- a/standins/platform/server.ts
+++ b/standins/platform/server.ts
@@ -1,4 +1,4 @@
-/** The stand-in platform as an HTTP server. */
+/** Serves the stand-in platform over HTTP. */
 import * as z from "zod";
 import * as httpServer from "../httpServer";
 import * as embeddedPlatform from "./embeddedPlatform";
@@ -17,6 +17,7 @@
 const scanSchema = z.object({ prefix: z.string(), after: z.string(), limit: z.number() });
 const transactSchema = z.object({ writes: z.array(writeSchema) });
 
+/** Listens on `host:port`; port 0 takes a free one. While the platform is down, calls are dropped without a response. */
 export function startPlatformServer(
     host: string,
     port: number,
@@ -27,14 +28,14 @@
     const transact = async (body: string): Promise<httpServer.StandinResponse | undefined> => {
         const writes = transactSchema.parse(JSON.parse(body)).writes;
         const result = await embedded.table.transact(writes.map(write => ({ ...write, value: write.value })));
-        const answered = result.kind === "committed" || result.kind === "conflict";
-        return answered ? respond(result) : undefined;
+        const isAnswered = result.kind === "committed" || result.kind === "conflict";
+        return isAnswered ? respond(result) : undefined;
     };
 
     const handlers: Record<string, (body: string) => Promise<httpServer.StandinResponse | undefined>> = {
         "POST /table/get": async body => {
             const rows = await embedded.table.get(getSchema.parse(JSON.parse(body)).keys);
-            // JSON has no undefined: an absent row is sent as null, which `?? null` cannot avoid here.
+            // JSON has no undefined, so an absent row is sent as null.
             return rows.kind === "read" ? respond({ rows: rows.value.map(row => row ?? JSON_NULL) }) : undefined;
         },
         "POST /table/scan": async body => {
@@ -74,7 +75,7 @@
     });
 }
 
-/** What JSON writes for an absent row. */
+/** The JSON value null; the linter does not permit the literal. */
 const JSON_NULL: unknown = JSON.parse("null");
 
 async function handleObject(
--- a/standins/platform/tableStore.ts
+++ b/standins/platform/tableStore.ts
@@ -1,13 +1,15 @@
-/** In-memory table service with transactions and versions; the state behind the stand-in server and the tests. */
+/** In-memory table service with transactions and row versions, used by the stand-in server and by tests. */
 import type * as platform from "../../src/backing/index";
 
 export interface TableStore {
     get(keys: readonly string[]): Array<platform.TableRow | undefined>;
+    /** Returns at most `limit` rows with the prefix and a key above `after`, ordered by key. */
     scan(prefix: string, after: string, limit: number): platform.TableRow[];
-    /** Versions on success, `undefined` on a conflict. */
+    /** Writes all rows if each has its expected version. Returns the new versions, or `undefined` on a conflict. */
     transact(writes: readonly platform.TableWrite[]): number[] | undefined;
-    /** Rows written since the start. */
+    /** Returns the number of row writes so far. */
     getRowsWritten(): number;
+    /** Returns the number of rows. */
     size(): number;
 }
 
@@ -40,18 +42,18 @@
     return {
         get: keys => keys.map(key => rows.get(key)),
         scan: (prefix, after, limit) => {
-            const found: platform.TableRow[] = [];
+            const page: platform.TableRow[] = [];
             const keys = getSortedKeys();
-            for (let index = findFirst(keys, after > prefix ? after : prefix); index < keys.length; index++) {
+            for (let index = findLowerBound(keys, after > prefix ? after : prefix); index < keys.length; index++) {
                 const key = keys[index]!;
-                if (!key.startsWith(prefix) || found.length >= limit) {
+                if (!key.startsWith(prefix) || page.length >= limit) {
                     break;
                 }
                 if (key !== after) {
-                    found.push(rows.get(key)!);
+                    page.push(rows.get(key)!);
                 }
             }
-            return found;
+            return page;
         },
         transact: writes => {
             const matches = writes.every(write => (rows.get(write.key)?.version ?? 0) === write.expectedVersion);
@@ -62,8 +64,8 @@
     };
 }
 
-/** Index of the first key that is not below `bound`. */
-function findFirst(keys: readonly string[], bound: string): number {
+/** Returns the index of the first key that is not below `bound`, by binary search. */
+function findLowerBound(keys: readonly string[], bound: string): number {
     let low = 0;
     let high = keys.length;
     while (low < high) {
--- a/standins/site/__tests__/embeddedSite.test.ts
+++ b/standins/site/__tests__/embeddedSite.test.ts
@@ -1,4 +1,4 @@
-/** The whole path over real TCP in one process: what callers and operators see, also while instances die and leave. */
+/** End-to-end tests over real TCP in one process: requests of callers and operators, also while instances stop or die. */
 import * as undici from "undici";
 import * as load from "../../../src/load/index";
 import * as result from "../../../src/result/index";
@@ -11,7 +11,7 @@
 let embedded: site.EmbeddedSite;
 const clients: load.CallersClient[] = [];
 
-function clientOf(index: number): load.CallersClient {
+function createClient(index: number): load.CallersClient {
     const client = load.createCallersClient(
         () => embedded.instances[index % embedded.instances.length]!.callersOrigin,
         8,
@@ -20,7 +20,7 @@
     return client;
 }
 
-function submission(requestId: string, runMs: number, extra: Readonly<Record<string, unknown>> = {}) {
+function createSubmission(requestId: string, runMs: number, extra: Readonly<Record<string, unknown>> = {}) {
     return {
         requestId,
         class: "batch",
@@ -30,28 +30,28 @@
     };
 }
 
-/** Below the time that a test has: a loop that outlives its test keeps the runner from ending. */
-const UNTIL_MS = 25_000;
+/** Below the timeout of a test: a loop that outlives its test would keep the test runner from exiting. */
+const CONDITION_TIMEOUT_MS = 25_000;
 
-async function until(holds: () => boolean): Promise<void> {
+async function waitUntilTrue(condition: () => boolean): Promise<void> {
     const pauseMs = 10;
-    for (let waitedMs = 0; !holds(); waitedMs += pauseMs) {
-        if (waitedMs >= UNTIL_MS) {
+    for (let waitedMs = 0; !condition(); waitedMs += pauseMs) {
+        if (waitedMs >= CONDITION_TIMEOUT_MS) {
             throw new Error("the condition did not come true");
         }
         await new Promise(resolve => setTimeout(resolve, pauseMs));
     }
 }
 
-function startsOf(mark: string): worker.JournalEntry[] {
+function getStarts(mark: string): worker.JournalEntry[] {
     return embedded.journal.getEntries().filter(entry => worker.readPayload(entry.payload).mark === mark);
 }
 
 function isRunning(mark: string): boolean {
-    return startsOf(mark).some(entry => entry.ended === undefined);
+    return getStarts(mark).some(entry => entry.ended === undefined);
 }
 
-async function operate(
+async function callOperatorApi(
     index: number,
     method: "GET" | "POST" | "PUT",
     path: string,
@@ -83,78 +83,90 @@
 });
 
 describe("callers", () => {
-    test("a job submitted at one entry is seen, fetched and repeated at others", async () => {
-        const body = submission("job-1", 100);
-        expect(await clientOf(0).submit(alpha, body, 0)).toMatchObject({ kind: "job" });
-        expect(await clientOf(1).get(alpha, "job-1", 10_000)).toMatchObject({ kind: "job", state: "done" });
-        const fetched = await clientOf(2).getResult(alpha, "job-1");
+    test("a job submitted to one instance can be read, fetched and submitted again at others", async () => {
+        const body = createSubmission("job-1", 100);
+        expect(await createClient(0).submit(alpha, body, 0)).toMatchObject({ kind: "job" });
+        expect(await createClient(1).get(alpha, "job-1", 10_000)).toMatchObject({ kind: "job", state: "done" });
+        const fetched = await createClient(2).getResult(alpha, "job-1");
         expect(fetched.kind === "done" && JSON.parse(Buffer.from(fetched.body).toString())).toEqual({ mark: "job-1" });
-        expect(await clientOf(2).submit(alpha, body, 0)).toMatchObject({ kind: "job", state: "done" });
-        expect(startsOf("job-1")).toHaveLength(1);
+        expect(await createClient(2).submit(alpha, body, 0)).toMatchObject({ kind: "job", state: "done" });
+        expect(getStarts("job-1")).toHaveLength(1);
     });
 
-    test("a request id that is used again for another job is refused", async () => {
-        await clientOf(0).submit(alpha, submission("job-2", 10), 10_000);
-        const again = await clientOf(1).submit(alpha, submission("job-2", 11), 0);
+    test("a request id that is reused for another job is refused", async () => {
+        await createClient(0).submit(alpha, createSubmission("job-2", 10), 10_000);
+        const again = await createClient(1).submit(alpha, createSubmission("job-2", 11), 0);
         expect(again).toMatchObject({ kind: "refused", code: result.ResultCode.ConflictingReuse, ran: "no" });
     });
 
-    test("a waiting job is cancelled as not run, and cancelling again changes nothing", async () => {
-        const body = submission("job-3", 60_000, { accelerators: 8, adjacency: "worker" });
+    test("a waiting job is cancelled as not run, and a repeated cancellation changes nothing", async () => {
+        const body = createSubmission("job-3", 60_000, { accelerators: 8, adjacency: "worker" });
         const fillers = Array.from({ length: 6 }, (_, index) => `filler-${index}`);
         for (const id of fillers) {
-            await clientOf(0).submit(alpha, submission(id, 60_000, { accelerators: 8, adjacency: "worker" }), 0);
+            await createClient(0).submit(
+                alpha,
+                createSubmission(id, 60_000, { accelerators: 8, adjacency: "worker" }),
+                0,
+            );
         }
-        // A filler that runs longer than was predicted may be stopped once for another filler that waits, and starts
-        // again elsewhere. Once all run at the same time, none waits and none is stopped any more: no worker is free.
-        await until(() => fillers.every(isRunning));
-        await clientOf(0).submit(alpha, body, 0);
-        expect(await clientOf(1).cancel(alpha, "job-3")).toMatchObject({
+        // A filler that runs longer than predicted may be preempted for one that waits, and restarts on another worker.
+        // Once all of them run at the same time, none waits and none is preempted any more, and no worker is free.
+        await waitUntilTrue(() => fillers.every(isRunning));
+        await createClient(0).submit(alpha, body, 0);
+        expect(await createClient(1).cancel(alpha, "job-3")).toMatchObject({
             state: "notRun",
             code: result.ResultCode.Cancelled,
         });
-        expect(await clientOf(2).cancel(alpha, "job-3")).toMatchObject({ state: "notRun" });
-        expect(startsOf("job-3")).toHaveLength(0);
+        expect(await createClient(2).cancel(alpha, "job-3")).toMatchObject({ state: "notRun" });
+        expect(getStarts("job-3")).toHaveLength(0);
         for (const [index, id] of fillers.entries()) {
-            expect(await clientOf(index).cancel(alpha, id)).toMatchObject({
+            expect(await createClient(index).cancel(alpha, id)).toMatchObject({
                 state: "failed",
                 code: result.ResultCode.Cancelled,
             });
         }
     });
 
-    test("a gang of two workers runs whole and once", async () => {
-        const body = submission("gang-1", 200, { accelerators: 16, adjacency: "rack" });
-        expect(await clientOf(0).submit(alpha, body, 15_000)).toMatchObject({ kind: "job", state: "done" });
-        expect(startsOf("gang-1").map(entry => entry.accelerators)).toEqual([8, 8]);
+    test("a gang of two workers runs completely and once", async () => {
+        const body = createSubmission("gang-1", 200, { accelerators: 16, adjacency: "rack" });
+        expect(await createClient(0).submit(alpha, body, 15_000)).toMatchObject({ kind: "job", state: "done" });
+        expect(getStarts("gang-1").map(entry => entry.accelerators)).toEqual([8, 8]);
     });
 
     test.each([
         {
-            name: "no zone holds it",
-            body: submission("x1", 1, { accelerators: 100, adjacency: "rack" }),
+            name: "more accelerators than a zone has",
+            body: createSubmission("x1", 1, { accelerators: 100, adjacency: "rack" }),
             code: result.ResultCode.CanNeverRun,
         },
-        { name: "unknown field", body: submission("x2", 1, { colour: "red" }), code: result.ResultCode.BadRequest },
-        { name: "unknown class", body: submission("x3", 1, { class: "fast" }), code: result.ResultCode.BadRequest },
+        {
+            name: "unknown field",
+            body: createSubmission("x2", 1, { colour: "red" }),
+            code: result.ResultCode.BadRequest,
+        },
+        {
+            name: "unknown class",
+            body: createSubmission("x3", 1, { class: "fast" }),
+            code: result.ResultCode.BadRequest,
+        },
         {
             name: "too many accelerators",
-            body: submission("x4", 1, { accelerators: 129 }),
+            body: createSubmission("x4", 1, { accelerators: 129 }),
             code: result.ResultCode.BadRequest,
         },
         {
             name: "interactive with accelerators",
-            body: submission("x5", 1, { class: "interactive" }),
+            body: createSubmission("x5", 1, { class: "interactive" }),
             code: result.ResultCode.BadRequest,
         },
         {
             name: "body too large",
-            body: submission("x6", 1, { payload: "x".repeat(70_000) }),
+            body: createSubmission("x6", 1, { payload: "x".repeat(70_000) }),
             code: result.ResultCode.BodyTooLarge,
         },
-        { name: "request id with a slash", body: submission("a/b", 1), code: result.ResultCode.BadRequest },
+        { name: "request id with a slash", body: createSubmission("a/b", 1), code: result.ResultCode.BadRequest },
     ])("refused as not run: $name", async ({ body, code }) => {
-        expect(await clientOf(0).submit(alpha, body, 0)).toMatchObject({ kind: "refused", code, ran: "no" });
+        expect(await createClient(0).submit(alpha, body, 0)).toMatchObject({ kind: "refused", code, ran: "no" });
     });
 
     test.each([
@@ -163,15 +175,15 @@
         { name: "expired key", key: expired },
         { name: "operator's key", key: site.OPERATOR_KEY },
     ])("refused without a valid key: $name", async ({ key }) => {
-        expect(await clientOf(0).submit(key, submission("y", 1), 0)).toMatchObject({
+        expect(await createClient(0).submit(key, createSubmission("y", 1), 0)).toMatchObject({
             code: result.ResultCode.Unauthorized,
         });
-        expect(await clientOf(0).get(key, "job-1", 0)).toMatchObject({ code: result.ResultCode.Unauthorized });
+        expect(await createClient(0).get(key, "job-1", 0)).toMatchObject({ code: result.ResultCode.Unauthorized });
     });
 
-    test("one account neither sees nor cancels nor fetches another's job", async () => {
-        const client = clientOf(0);
-        await client.submit(alpha, submission("secret", 10), 10_000);
+    test("an account can neither read nor cancel nor fetch another account's job", async () => {
+        const client = createClient(0);
+        await client.submit(alpha, createSubmission("secret", 10), 10_000);
         for (
             const call of [
                 client.get(beta, "secret", 0),
@@ -183,22 +195,22 @@
         }
     });
 
-    test("an at-most-once request sent to three entries at the same time runs once and all get its answer", async () => {
-        // Symptom: a doubled confirmation. Sequence: the caller's connection breaks, and it repeats the request at other
-        // entries while the first is under way. Cause: entries that each dispatch what they receive.
+    test("an at-most-once request that is sent to three instances at the same time runs once, and all return its answer", async () => {
+        // The caller's connection breaks, and it repeats the request at other instances while the first is in progress.
+        // If each instance dispatched what it receives, a confirmation would run twice.
         const body = {
             requestId: "once-1",
             class: "interactive",
             repeatable: false,
             payload: JSON.stringify({ runMs: 200, mark: "once-1" }),
         };
-        const answers = await Promise.all([0, 1, 2].map(index => clientOf(index).submit(alpha, body, 0)));
+        const answers = await Promise.all([0, 1, 2].map(index => createClient(index).submit(alpha, body, 0)));
         for (const answer of answers) {
             expect(answer.kind === "done" && JSON.parse(Buffer.from(answer.body).toString())).toEqual({
                 mark: "once-1",
             });
         }
-        expect(startsOf("once-1")).toHaveLength(1);
+        expect(getStarts("once-1")).toHaveLength(1);
     });
 });
 
@@ -207,14 +219,14 @@
         { name: "no key", key: "" },
         { name: "account's key", key: alpha },
     ])("refused: $name", async ({ key }) => {
-        expect(await operate(0, "GET", "/v1/status", undefined, key)).toMatchObject({ status: 401 });
+        expect(await callOperatorApi(0, "GET", "/v1/status", undefined, key)).toMatchObject({ status: 401 });
     });
 
-    test("of two changes to the same revision one wins and the other gets a clear conflict", async () => {
-        const { revision } = (await operate(0, "GET", "/v1/status")).body as { revision: number; };
+    test("of two concurrent changes to the same revision one succeeds and the other is refused as a conflict", async () => {
+        const { revision } = (await callOperatorApi(0, "GET", "/v1/status")).body as { revision: number; };
         const answers = await Promise.all(
             ["peak", "ordinary"].map((preset, index) =>
-                operate(index, "POST", "/v1/preset", {
+                callOperatorApi(index, "POST", "/v1/preset", {
                     preset,
                     operationId: `race-${index}`,
                     expectedRevision: revision,
@@ -226,26 +238,26 @@
         expect(loser.body).toMatchObject({ code: result.ResultCode.ConfigurationConflict, ran: "no" });
     });
 
-    test("a change that is repeated under its operation id is applied once, and is in force everywhere", async () => {
-        const before = (await operate(0, "GET", "/v1/status")).body as { newestRevision: number; };
+    test("a change that is repeated under its operation id is applied once, and takes effect on all instances", async () => {
+        const before = (await callOperatorApi(0, "GET", "/v1/status")).body as { newestRevision: number; };
         const req = { preset: "peak", operationId: "repeated", expectedRevision: before.newestRevision };
-        const first = await operate(0, "POST", "/v1/preset", req);
-        const second = await operate(1, "POST", "/v1/preset", req);
+        const first = await callOperatorApi(0, "POST", "/v1/preset", req);
+        const second = await callOperatorApi(1, "POST", "/v1/preset", req);
         expect(second.body).toEqual(first.body);
         const wanted = first.body["revision"];
         await waitUntil(async () => {
-            const seen = await Promise.all([0, 1, 2].map(index => operate(index, "GET", "/v1/status")));
+            const seen = await Promise.all([0, 1, 2].map(index => callOperatorApi(index, "GET", "/v1/status")));
             return seen.every(status => status.body["revision"] === wanted);
         });
     });
 
-    test("a preset that cannot fit is refused with the account it fails for", async () => {
+    test("a preset whose guarantees do not fit is refused, and the error names the account", async () => {
         const preset = {
             name: "too-much",
             kind: "peak",
             guarantees: [{ account: "beta", blocks: 4, acceleratorsPerBlock: 16, adjacency: "rack" }],
         };
-        const answer = await operate(0, "PUT", "/v1/presets", { preset, operationId: "too-much" });
+        const answer = await callOperatorApi(0, "PUT", "/v1/presets", { preset, operationId: "too-much" });
         expect(answer.body).toMatchObject({
             code: result.ResultCode.ConfigurationInvalid,
             message: expect.stringContaining("\"beta\""),
@@ -254,8 +266,8 @@
 });
 
 describe("instances", () => {
-    test("a graceful shutdown cuts no request", async () => {
-        const client = clientOf(0);
+    test("a graceful shutdown interrupts no request", async () => {
+        const client = createClient(0);
         const leaving = embedded.instances[0]!;
         const origin = leaving.callersOrigin;
         const body = (mark: string) => ({ class: "interactive", payload: JSON.stringify({ runMs: 700, mark }) });
@@ -271,21 +283,21 @@
         await embedded.addInstance("zone-a");
     });
 
-    test("an instance that is killed while jobs run loses none of them", async () => {
-        // Symptom: an accepted job that nobody finishes. Sequence: the owner of its rack or queue is killed in the middle.
-        // Cause: state that only the dead process had; here it is in the job's row and at the worker.
+    test("no job is lost when an instance is killed while jobs run", async () => {
+        // The owner of a job's rack or queue is killed while the job runs. If only that process had the state, nobody would
+        // finish the accepted job; the state is therefore in the job's row and at the worker.
         expect(await embedded.waitUntilReady(READY_MS)).toBe(true);
         const marks = Array.from({ length: 12 }, (_, index) => `killed-${index}`);
         for (const [index, mark] of marks.entries()) {
-            const answer = await clientOf(index).submit(alpha, submission(mark, 1500), 0);
+            const answer = await createClient(index).submit(alpha, createSubmission(mark, 1500), 0);
             expect(answer).toMatchObject({ kind: "job" });
         }
         await embedded.clock.sleep(500);
         await embedded.removeInstance(embedded.instances[1]!, "kill");
         for (const [index, mark] of marks.entries()) {
-            expect(await clientOf(index).get(alpha, mark, 25_000)).toMatchObject({ kind: "job", state: "done" });
+            expect(await createClient(index).get(alpha, mark, 25_000)).toMatchObject({ kind: "job", state: "done" });
         }
-        const finished = marks.map(mark => startsOf(mark).filter(entry => entry.ended === "finished").length);
+        const finished = marks.map(mark => getStarts(mark).filter(entry => entry.ended === "finished").length);
         expect(finished).toEqual(marks.map(() => 1));
     }, 60_000);
 });
--- a/standins/site/demo.ts
+++ b/standins/site/demo.ts
@@ -1,4 +1,4 @@
-/** The demonstration: an embedded site of a deployment's true size under a mixed load, judged from outside. */
+/** The demo: an embedded site of a deployment's real size under a mixed load, with a count of violations. */
 import * as path from "node:path";
 import * as async from "../../src/async/index";
 import * as load from "../../src/load/index";
@@ -7,7 +7,7 @@
 import * as settings from "../../src/settings/index";
 import * as demoLoad from "./demoLoad";
 import * as embeddedSite from "./embeddedSite";
-import * as verdict from "./violations";
+import * as violations from "./violations";
 
 export interface DemoOptions {
     readonly deployment: demoLoad.DeploymentName;
@@ -17,13 +17,13 @@
     readonly onProgress: (line: string) => void;
 }
 
-export interface DemoSummary extends load.LoadSummary, verdict.ViolationCounts {
+export interface DemoSummary extends load.LoadSummary, violations.ViolationCounts {
     readonly deployment: string;
     readonly workers: number;
     readonly instances: number;
-    /** Mean over time of 1 − accelerators free in whole workers ÷ all free ones, from the workers themselves. */
+    /** Mean over time of 1 − (accelerators free in whole workers ÷ all free accelerators), read from the workers. */
     readonly fragmentation: number;
-    /** Mean share of accelerators in use. */
+    /** Mean share of the accelerators in use, from 0 to 1. */
     readonly utilisation: number;
     readonly tableRowsWritten: number;
     readonly memoryMb: number;
@@ -31,19 +31,19 @@
 
 const INSTANCES = 7;
 const READY_TIMEOUT_MS = 20_000;
-const PATIENCE_MS = 40_000;
-const SAMPLE_MS = 100;
-const PROGRESS_MS = 1000;
+const CALLER_PATIENCE_MS = 40_000;
+const SAMPLE_INTERVAL_MS = 100;
+const PROGRESS_INTERVAL_MS = 1000;
 
-/** The ready-made site file of a deployment. */
+/** Returns the path of a deployment's site file. */
 export function getSiteFile(deployment: demoLoad.DeploymentName): string {
     return path.join(findPackageRoot(), "deployments", deployment, "site.toml");
 }
 
-/** Sources and their compiled form lie at different depths below the package. */
+/** The sources and their compiled form are at different depths below the package root. */
 function findPackageRoot(): string {
-    const above = path.resolve(__dirname, "..", "..");
-    return path.basename(above) === "dist" ? path.dirname(above) : above;
+    const root = path.resolve(__dirname, "..", "..");
+    return path.basename(root) === "dist" ? path.dirname(root) : root;
 }
 
 export async function runDemo(options: DemoOptions): Promise<DemoSummary> {
@@ -57,20 +57,20 @@
     const time = embedded.clock;
     const log = load.createCallerLog();
     const client = load.createCallersClient(() => rng.pick(embedded.instances).callersOrigin, 32);
-    const runner = load.createLoad({ clock: time, rng, client, log, patienceMs: PATIENCE_MS });
+    const loadGenerator = load.createLoad({ clock: time, rng, client, log, patienceMs: CALLER_PATIENCE_MS });
     const stopped = async.createAbortController();
     const samples = sample(embedded, stopped.signal);
     const progress = reportProgress(embedded, log, options, stopped.signal);
-    const ending = time.sleep(options.seconds * 1000).then(() => stopped.abort());
-    await runner.run(demoLoad.getDemoStreams(options.deployment, options.scale), stopped.signal);
-    await Promise.all([ending, progress]);
+    const stopTimer = time.sleep(options.seconds * 1000).then(() => stopped.abort());
+    await loadGenerator.run(demoLoad.getDemoStreams(options.deployment, options.scale), stopped.signal);
+    await Promise.all([stopTimer, progress]);
     const { fragmentation, utilisation } = await samples;
     const summary: DemoSummary = {
         deployment: options.deployment,
         workers: embedded.workers.length,
         instances: embedded.instances.length,
         ...log.summarize(),
-        ...verdict.countViolations(log.getRecords(), embedded.journal.getEntries(), time.now()),
+        ...violations.countViolations(log.getRecords(), embedded.journal.getEntries(), time.now()),
         fragmentation,
         utilisation,
         tableRowsWritten: embedded.platform.store.getRowsWritten(),
@@ -97,7 +97,7 @@
         fragmentation += placement.getFragmentation(total, whole);
         utilisation += 1 - total / (capacity * free.length);
         count++;
-        await embedded.clock.sleep(SAMPLE_MS, signal);
+        await embedded.clock.sleep(SAMPLE_INTERVAL_MS, signal);
     }
     return { fragmentation: fragmentation / Math.max(1, count), utilisation: utilisation / Math.max(1, count) };
 }
@@ -109,16 +109,16 @@
     signal: AbortSignal,
 ): Promise<void> {
     while (!signal.aborted) {
-        await embedded.clock.sleep(PROGRESS_MS, signal);
-        const seen = log.summarize();
+        await embedded.clock.sleep(PROGRESS_INTERVAL_MS, signal);
+        const summary = log.summarize();
         options.onProgress(
-            `sent ${seen.sent}, completed ${seen.completed}, open ${seen.open}, not run ${seen.notRun}, `
-                + `p50 ${seen.p50Ms.toFixed(1)} ms, p99 ${seen.p99Ms.toFixed(1)} ms`,
+            `sent ${summary.sent}, completed ${summary.completed}, open ${summary.open}, not run ${summary.notRun}, `
+                + `p50 ${summary.p50Ms.toFixed(1)} ms, p99 ${summary.p99Ms.toFixed(1)} ms`,
         );
     }
 }
 
-/** Whether the run kept every promise. */
+/** Whether the run had no violations. */
 export function hasNoViolations(summary: DemoSummary): boolean {
     return summary.lost + summary.duplicated + summary.crossed + summary.partialGangs + summary.falseNotRun === 0;
 }
--- a/standins/site/demoLoad.ts
+++ b/standins/site/demoLoad.ts
@@ -1,4 +1,4 @@
-/** The mixed load of the two deployments, scaled down to seconds. */
+/** The mixed load of each deployment, with run times of at most a few seconds. */
 import type * as load from "../../src/load/index";
 
 export type DeploymentName = "cedarflue" | "breizh";
@@ -13,7 +13,7 @@
 }
 
 const CEDARFLUE: readonly StreamShape[] = [
-    // Slot confirmations must not run twice; looking up free slots may.
+    // Confirmations of slots must not run twice; queries of free slots may.
     {
         account: "front-desk",
         jobClass: "interactive",
@@ -159,7 +159,7 @@
     },
 ];
 
-/** `scale` multiplies all rates. */
+/** Returns the load streams of a deployment; `scale` multiplies all rates. */
 export function getDemoStreams(deployment: DeploymentName, scale: number): load.LoadStream[] {
     const shapes = deployment === "cedarflue" ? CEDARFLUE : BREIZH;
     return shapes.map(shape => ({
--- a/standins/site/embeddedSite.ts
+++ b/standins/site/embeddedSite.ts
@@ -1,4 +1,4 @@
-/** A whole site in one process: stand-in platform and workers on loopback ports, and real instances over real TCP. */
+/** A whole site in one process: stand-in platform and workers on loopback ports, and instances that use real TCP. */
 import * as net from "node:net";
 import type * as clock from "../../src/clock/index";
 import type * as configuration from "../../src/configuration/index";
@@ -30,12 +30,13 @@
     readonly instances: readonly EmbeddedInstance[];
     readonly journal: worker.Journal;
     readonly site: configuration.Site;
-    /** Starts one more instance in the zone, as a replacement does. */
+    /** Starts another instance in the zone, as for a replacement. */
     addInstance(zone: string): Promise<EmbeddedInstance>;
+    /** Stops an instance gracefully or kills it. */
     removeInstance(item: EmbeddedInstance, how: "stop" | "kill"): Promise<void>;
-    /** Cuts a zone off from the other zones, or joins it again. */
-    setPartitioned(zone: string, cut: boolean): void;
-    /** Resolves once every rack has an owner with all its workers. */
+    /** Partitions a zone from the other zones, or ends the partition. */
+    setPartitioned(zone: string, partitioned: boolean): void;
+    /** Waits until every rack has an owner with all its workers; false after the timeout. */
     waitUntilReady(timeoutMs: number): Promise<boolean>;
     stop(): Promise<void>;
 }
@@ -45,7 +46,7 @@
     readonly instances: number;
     readonly seed: number;
     readonly logLevel?: "silent" | "error" | "warn" | "info";
-    /** Changes to the instances' settings, by group. */
+    /** Overrides of the instances' settings, by group. */
     readonly settings?: Readonly<Record<string, Readonly<Record<string, unknown>>>>;
 }
 
@@ -58,19 +59,19 @@
 export async function startEmbeddedSite(options: EmbeddedSiteOptions): Promise<EmbeddedSite> {
     const time = stoppableClock.createStoppableClock();
     const rng = random.createRandom(options.seed);
-    const embedded = platform.createEmbeddedPlatform({
+    const embeddedPlatform = platform.createEmbeddedPlatform({
         clock: time,
         rng,
         lagMs: MEMBERSHIP_LAG_MS,
         expiryMs: MEMBERSHIP_EXPIRY_MS,
     });
     const journal = worker.createJournal();
-    const servers: httpServer.StandinServer[] = [await platform.startPlatformServer(HOST, 0, embedded)];
+    const servers: httpServer.StandinServer[] = [await platform.startPlatformServer(HOST, 0, embeddedPlatform)];
     const origin = `http://${HOST}:${servers[0]!.port}`;
     const workers: EmbeddedWorker[] = [];
-    const cutZones = new Set<string>();
+    const partitionedZones = new Set<string>();
     const instances: EmbeddedInstance[] = [];
-    let started = 0;
+    let startedInstances = 0;
 
     const startWorker = async (id: string, capacity: configuration.Capacity): Promise<string> => {
         const faults = worker.createFaultSwitch();
@@ -103,10 +104,10 @@
     const site: configuration.Site = { ...options.site, topology: { ...options.site.topology, racks } };
 
     const addInstance = async (zone: string): Promise<EmbeddedInstance> => {
-        started++;
+        startedInstances++;
         const ports = await findFreePorts(3);
         const cfg = settings.instanceSettingsSchema.parse({
-            instance: { id: `${zone}-${started}`, zone },
+            instance: { id: `${zone}-${startedInstances}`, zone },
             listen: { callers: `${HOST}:${ports[0]}`, operators: `${HOST}:${ports[1]}`, peers: `${HOST}:${ports[2]}` },
             platform: { origin },
             log: { level: options.logLevel ?? "warn" },
@@ -115,8 +116,8 @@
         const instance = instanceModule.createInstance({
             settings: cfg,
             bootstrapSite: site,
-            seed: options.seed + started,
-            isLinkUp: target => target === zone || (!cutZones.has(zone) && !cutZones.has(target)),
+            seed: options.seed + startedInstances,
+            isLinkUp: target => target === zone || (!partitionedZones.has(zone) && !partitionedZones.has(target)),
         });
         await instance.start();
         const item: EmbeddedInstance = {
@@ -135,7 +136,7 @@
             0,
         );
         const queues = instances.flatMap(item => item.instance.getStatus().queues);
-        const listed = embedded.members.getSnapshot().instances.length;
+        const listed = embeddedPlatform.members.getSnapshot().instances.length;
         return usable === workers.length && queues.length === site.topology.zones.length && listed >= instances.length;
     };
 
@@ -145,7 +146,7 @@
 
     return {
         clock: time,
-        platform: embedded,
+        platform: embeddedPlatform,
         workers,
         instances,
         journal,
@@ -155,12 +156,12 @@
             instances.splice(instances.indexOf(item), 1);
             await item.instance[how]();
         },
-        setPartitioned: (zone, cut) => {
-            if (cut) {
-                cutZones.add(zone);
+        setPartitioned: (zone, partitioned) => {
+            if (partitioned) {
+                partitionedZones.add(zone);
             }
             else {
-                cutZones.delete(zone);
+                partitionedZones.delete(zone);
             }
         },
         waitUntilReady: async timeoutMs => {
@@ -179,24 +180,24 @@
 }
 
 /**
- * Ports below the range from which the system takes the ports of outgoing connections and of listeners that ask for
- * any port: a port of that range that was free a moment ago may be another connection's by the time it is listened on.
+ * Ports below the system's ephemeral port range. The system assigns ports of that range to outgoing connections and to
+ * listeners on port 0, so a port that was free there may be in use by the time that it is listened on.
  */
 const FIRST_PORT = 12_000;
-const PORTS_OF_PROCESS = 100;
-/** Processes of one test run have numbers close to each other, so each gets a block of its own. */
-const PROCESS_BLOCKS = 200;
-let portsTried = 0;
+const PORTS_PER_PROCESS = 100;
+/** Processes of one test run have process ids close to each other, so that each gets a block of its own. */
+const PORT_BLOCKS = 200;
+let nextPortIndex = 0;
 
-/** Ports that are free; a port is not returned again until all others of this process have been. */
+/** Returns free ports. A port is not returned again until all others of the process's block have been tried. */
 export async function findFreePorts(count: number): Promise<number[]> {
     const ports: number[] = [];
-    for (let tries = 0; ports.length < count; tries++) {
-        if (tries === PORTS_OF_PROCESS) {
-            throw new Error(`fewer than ${count} free ports from ${getPort(0)} on`);
+    for (let attempt = 0; ports.length < count; attempt++) {
+        if (attempt === PORTS_PER_PROCESS) {
+            throw new Error(`fewer than ${count} ports are free in the block that starts at port ${getPort(0)}`);
         }
-        const port = getPort(portsTried);
-        portsTried++;
+        const port = getPort(nextPortIndex);
+        nextPortIndex++;
         if (await isFree(port)) {
             ports.push(port);
         }
@@ -205,7 +206,7 @@
 }
 
 function getPort(index: number): number {
-    return FIRST_PORT + process.pid % PROCESS_BLOCKS * PORTS_OF_PROCESS + index % PORTS_OF_PROCESS;
+    return FIRST_PORT + process.pid % PORT_BLOCKS * PORTS_PER_PROCESS + index % PORTS_PER_PROCESS;
 }
 
 function isFree(port: number): Promise<boolean> {
--- a/standins/site/index.ts
+++ b/standins/site/index.ts
@@ -1,4 +1,4 @@
-/** A whole embedded site, its load, and the counting of what really happened. */
+/** An embedded site, its load, and the count of violations. */
 export { type DemoOptions, type DemoSummary, getSiteFile, hasNoViolations, runDemo } from "./demo";
 export { type DeploymentName, getDemoStreams } from "./demoLoad";
 export * from "./embeddedSite";
--- a/standins/site/smallSite.ts
+++ b/standins/site/smallSite.ts
@@ -1,4 +1,4 @@
-/** A small site for tests: three zones of one rack with two workers each, and two client accounts. */
+/** A small site for tests: three zones, each with one rack of two workers, and two client accounts. */
 import * as configuration from "../../src/configuration/index";
 
 export const ACCOUNT_KEYS = { alpha: "key-of-alpha", beta: "key-of-beta", expired: "expired-key-of-alpha" } as const;
@@ -13,7 +13,7 @@
 }
 
 export function createSmallSite(options: SmallSiteOptions = {}): configuration.Site {
-    const key = (text: string, expiresAtMs?: number) => ({ sha256: configuration.hashKey(text), expiresAtMs });
+    const createKey = (text: string, expiresAtMs?: number) => ({ sha256: configuration.hashKey(text), expiresAtMs });
     const racks = ZONES.map(zone => ({
         id: `${zone}-r1`,
         zone,
@@ -26,10 +26,14 @@
         preset: "ordinary",
         topology: { zones: [...ZONES], capacity: { accelerators: 8, slots: 8, cpus: 32, memoryMb: 65_536 }, racks },
         accounts: [
-            { name: "alpha", keys: [key(ACCOUNT_KEYS.alpha), key(ACCOUNT_KEYS.expired, 1)], ...options.account },
-            { name: "beta", keys: [key(ACCOUNT_KEYS.beta)] },
+            {
+                name: "alpha",
+                keys: [createKey(ACCOUNT_KEYS.alpha), createKey(ACCOUNT_KEYS.expired, 1)],
+                ...options.account,
+            },
+            { name: "beta", keys: [createKey(ACCOUNT_KEYS.beta)] },
         ],
-        operators: [{ name: "operator", keys: [key(OPERATOR_KEY)] }],
+        operators: [{ name: "operator", keys: [createKey(OPERATOR_KEY)] }],
         presets: [
             { name: "ordinary", kind: "ordinary", guarantees: options.guarantees ?? [] },
             { name: "peak", kind: "peak" },
--- a/standins/site/violations.ts
+++ b/standins/site/violations.ts
@@ -1,31 +1,31 @@
-/** Counts violations from what the workers really ran and what callers really got, not from the product's own books. */
+/** Counts violations from the workers' journals and the callers' records, not from the scheduler's own state. */
 import type * as load from "../../src/load/index";
 import * as workers from "../../src/workers/index";
 import * as worker from "../worker/index";
 
 export interface ViolationCounts {
-    /** Accepted requests that have no outcome, or whose outcome is "done" though no worker finished them. */
+    /** Accepted requests that have no outcome, or whose outcome is "done" although no worker finished them. */
     readonly lost: number;
-    /** Requests that may run once and ran more often, and jobs that were completed more than once. */
+    /** At-most-once requests that ran more than once, and jobs that were completed more than once. */
     readonly duplicated: number;
     /** Answers that belong to another request. */
     readonly crossed: number;
-    /** Attempts of gangs of which some members ran for longer than the grace without all the others. */
+    /** Attempts of gangs of which some members ran longer than the grace period without all the others. */
     readonly partialGangs: number;
-    /** Requests that were called "not run" though a worker started them. */
+    /** Requests that were reported as "not run" although a worker started them. */
     readonly falseNotRun: number;
-    /** What was found of the first few violations, for whoever looks for the cause. */
+    /** Details of the first few violations. */
     readonly findings: readonly string[];
 }
 
-interface Runs {
+interface RunCounts {
     starts: number;
-    /** Attempts whose first member finished. */
+    /** Attempts of which the first member finished. */
     completions: number;
 }
 
 const MAX_FINDINGS = 5;
-/** Starting a gang, and stopping one whose start failed, each take a round trip to every member. */
+/** Starting a gang and stopping one whose start failed each take a round trip to every member. */
 const GANG_GRACE_MS = 1000;
 
 export function countViolations(
@@ -47,9 +47,9 @@
             ? 1
             : 0;
         crossed += record.answerMark !== undefined && record.answerMark !== record.mark ? 1 : 0;
-        const isFalse = record.outcome === "notRun" && starts > 0;
-        falseNotRun += isFalse ? 1 : 0;
-        if (findings.length < MAX_FINDINGS && (isFalse || isUnresolved)) {
+        const isFalseNotRun = record.outcome === "notRun" && starts > 0;
+        falseNotRun += isFalseNotRun ? 1 : 0;
+        if (findings.length < MAX_FINDINGS && (isFalseNotRun || isUnresolved)) {
             findings.push(
                 `${record.jobClass} ${
                     record.repeatable ? "repeatable" : "once"
@@ -60,8 +60,8 @@
     return { lost, duplicated, crossed, partialGangs: countPartialGangs(journal, now), falseNotRun, findings };
 }
 
-function countRuns(journal: readonly worker.JournalEntry[]): Map<string, Runs> {
-    const runs = new Map<string, Runs>();
+function countRuns(journal: readonly worker.JournalEntry[]): Map<string, RunCounts> {
+    const runs = new Map<string, RunCounts>();
     for (const entry of journal) {
         const { mark } = worker.readPayload(entry.payload);
         const { index } = workers.readNote(entry.note);
--- a/standins/stoppableClock.ts
+++ b/standins/stoppableClock.ts
@@ -1,22 +1,22 @@
-/** The system's clock with timers that can all be ended: those of long tasks would keep a process alive for nothing. */
+/** The system clock with timers that can all be cancelled; otherwise timers of long tasks would keep the process alive. */
 import * as clock from "../src/clock/index";
 
 export interface StoppableClock extends clock.Clock {
-    /** Ends all timers; sleeps then never end. */
+    /** Cancels all timers; pending sleeps never resolve. */
     stop(): void;
 }
 
 export function createStoppableClock(): StoppableClock {
     const system = clock.createSystemClock();
-    const cancels = new Set<clock.CancelTimer>();
+    const cancelCallbacks = new Set<clock.CancelTimer>();
     const setTimer: clock.Clock["setTimer"] = (ms, callback) => {
         const cancel = system.setTimer(ms, () => {
-            cancels.delete(cancel);
+            cancelCallbacks.delete(cancel);
             callback();
         });
-        cancels.add(cancel);
+        cancelCallbacks.add(cancel);
         return () => {
-            cancels.delete(cancel);
+            cancelCallbacks.delete(cancel);
             cancel();
         };
     };
@@ -24,6 +24,6 @@
         ...system,
         setTimer,
         sleep: clock.createSleep(setTimer),
-        stop: () => cancels.forEach(cancel => cancel()),
+        stop: () => cancelCallbacks.forEach(cancel => cancel()),
     };
 }
--- a/standins/worker/__tests__/contract.test.ts
+++ b/standins/worker/__tests__/contract.test.ts
@@ -1,4 +1,4 @@
-/** The contract of a worker, run against the stand-in's core and against its HTTP form through the client. */
+/** Contract tests of a worker, run against the stand-in's core and through the HTTP client and server. */
 import type * as clock from "../../../src/clock/index";
 import * as random from "../../../src/random/index";
 import * as workers from "../../../src/workers/index";
@@ -7,8 +7,8 @@
 
 const CAPACITY = { accelerators: 8, slots: 8, cpus: 32, memoryMb: 1024 };
 /**
- * Far beyond any test: calls of a busy machine take seconds, and a lease of 1 s lapsed between them, so that tests that
- * are not about it saw "staleToken". Where a lease lapses the clock is moved.
+ * Longer than any test. On a busy machine calls take seconds; a lease of 1 s expired between them, and tests of other
+ * behaviour got "staleToken". Tests of lease expiry move the clock instead.
  */
 const LEASE_MS = 60_000;
 const NEEDS = { accelerators: 4, slots: 1, cpus: 4, memoryMb: 128 };
@@ -17,16 +17,16 @@
     readonly worker: workers.Worker;
     readonly faults: standin.WorkerFaultSwitch;
     readonly journal: standin.Journal;
-    /** Moves the worker's clock forward at once. */
+    /** Moves the worker's clock forward. */
     readonly skip: (ms: number) => void;
     readonly close: () => Promise<void>;
 }
 
-/** The system's clock, which a test can move forward: how long a call takes decides nothing then. */
+/** The system clock, which a test can move forward, so that the test doesn't depend on how long calls take. */
 interface SkippingClock {
     readonly clock: clock.Clock;
     readonly skip: (ms: number) => void;
-    /** Ends all timers. */
+    /** Cancels all timers. */
     readonly stop: () => void;
 }
 
@@ -144,7 +144,7 @@
             : report.fault.kind;
     };
 
-    test("one holder at a time, with tokens that rise; an older token is refused", async () => {
+    test("a lease has one holder at a time, its tokens increase, and an older token is refused", async () => {
         const first = await acquire("owner-1", 60_000);
         expect(await worker.acquireLease("owner-2", 1000)).toMatchObject({ fault: { kind: "held" } });
         subject.skip(60_001);
@@ -156,12 +156,12 @@
         expect(await worker.sync(syncOrder(first))).toMatchObject({ fault: { kind: "staleToken" } });
     });
 
-    test("a lease that is given back is free at once", async () => {
+    test("a released lease can be acquired at once", async () => {
         await worker.releaseLease(await acquire("owner-1", 60_000));
         expect(await acquire("owner-2")).toBeGreaterThan(0);
     });
 
-    test("a task id never runs twice, and running it again attaches to its answer", async () => {
+    test("a task id never runs twice, and a repeated run returns the answer of the first", async () => {
         const token = await acquire();
         const answers = await Promise.all(
             [1, 2].map(() => worker.run(token, order("i1", 20, { queueZone: "" }), 1000)),
@@ -178,7 +178,7 @@
         expect(subject.journal.getEntries()).toHaveLength(1);
     });
 
-    test("a tombstone tells whether a task started, and bars one that did not", async () => {
+    test("a tombstone reports whether a task started, and prevents the start of one that did not", async () => {
         const token = await acquire();
         expect(await worker.stop(token, "t1", "tombstone", "mine")).toMatchObject({
             value: { state: "tombstoned", note: "mine" },
@@ -194,7 +194,7 @@
         expect(subject.journal.getEntries().map(entry => entry.taskId)).toEqual(["t2"]);
     });
 
-    test("a checkpoint saves the progress, from which the next attempt goes on", async () => {
+    test("a checkpoint saves the progress, from which the next attempt resumes", async () => {
         const token = await acquire();
         await worker.create(token, order("t1", 10_000));
         const stopped = await worker.stop(token, "t1", "checkpoint", "");
@@ -204,7 +204,7 @@
         expect(await worker.getOutcome("t2")).toMatchObject({ value: { kind: "finished" } });
     });
 
-    test("prepared tasks hold their resources, and more than there is is refused", async () => {
+    test("prepared tasks hold their resources, and a task beyond the capacity is refused", async () => {
         const token = await acquire();
         await worker.create(token, order("t1", 10, { start: false }));
         await worker.create(token, order("t2", 10, { start: false }));
@@ -212,7 +212,7 @@
         expect(await states(token)).toEqual(["t1:prepared", "t2:prepared"]);
     });
 
-    test("a task whose lease is not renewed is stopped; one that is renewed goes on", async () => {
+    test("a task whose lease is not renewed is stopped; one whose lease is renewed goes on", async () => {
         const token = await acquire("owner-1", 5000);
         await worker.create(token, order("t1", 5000, { leaseMs: 60 }));
         await worker.create(token, order("t2", 5000, { leaseMs: 60 }));
@@ -230,7 +230,7 @@
         expect(await states(token)).toEqual([]);
     });
 
-    test("a sync call waits for news", async () => {
+    test("a sync call waits for a change", async () => {
         const token = await acquire();
         const before = await worker.sync(syncOrder(token));
         const sequence = before.kind === "ok" ? before.value.sequence : 0;
@@ -239,7 +239,7 @@
         expect(await waiting).toMatchObject({ value: { tasks: [{ taskId: "t1", state: "running" }] } });
     });
 
-    test("a faulty worker fails what it starts", async () => {
+    test("a faulty worker fails every task that it starts", async () => {
         const token = await acquire();
         subject.faults.set({ failTasks: true });
         expect(await worker.run(token, order("i1", 10, { queueZone: "" }), 1000)).toMatchObject({
@@ -258,7 +258,7 @@
     });
     afterEach(() => subject.close());
 
-    test("a command whose answer is lost counts as possibly carried out", async () => {
+    test("a command whose response is lost is reported as lost, although it may have been executed", async () => {
         subject.faults.set({ loseAnswers: 1 });
         expect(await subject.worker.create(token, order("t1", 10))).toMatchObject({ fault: { kind: "lost" } });
         expect(subject.journal.getEntries()).toHaveLength(1);
@@ -267,7 +267,7 @@
     test.each([
         { name: "truncated", faults: { truncateAnswers: 1 }, check: "truncated" },
         { name: "crossed", faults: { crossAnswers: 1 }, check: "crossed" },
-    ])("an answer that is $name is recognised", async ({ faults, check }) => {
+    ])("an answer that is $name is detected", async ({ faults, check }) => {
         await subject.worker.run(token, order("i0", 0, { queueZone: "" }), 1000);
         subject.faults.set(faults);
         const answer = await subject.worker.run(token, order("i1", 0, { queueZone: "" }), 1000);
@@ -276,14 +276,14 @@
         ).toBe(check);
     });
 
-    test("an answer above the limit is not taken in", async () => {
+    test("an answer above the size limit is rejected", async () => {
         const payload = JSON.stringify({ answerBytes: 10_000 });
         expect(await subject.worker.run(token, order("i1", 0, { queueZone: "", payload }), 1000)).toMatchObject({
             fault: { kind: "lost" },
         });
     });
 
-    test("a worker that does not answer is given up after the timeout", async () => {
+    test("a call to a worker that does not answer fails after the timeout", async () => {
         subject.faults.set({ paused: true });
         expect(await subject.worker.create(token, order("t1", 10))).toMatchObject({ fault: { kind: "lost" } });
         subject.faults.set({ paused: false });
--- a/standins/worker/announce.ts
+++ b/standins/worker/announce.ts
@@ -1,8 +1,8 @@
-/** Announces a stand-in worker at the platform's membership list again and again, as the platform's own agent does. */
+/** Periodically announces a stand-in worker to the platform's membership list, as the platform's agent does. */
 import * as undici from "undici";
 import type * as clock from "../../src/clock/index";
 
-const INTERVAL_MS = 1000;
+const ANNOUNCE_INTERVAL_MS = 1000;
 
 export async function announceWorker(
     time: clock.Clock,
@@ -16,9 +16,9 @@
             await res.body.dump();
         }
         catch {
-            // The platform is down; the next round tries again.
+            // The platform is unreachable; the next announcement retries.
         }
-        time.setTimer(INTERVAL_MS, () => void announce());
+        time.setTimer(ANNOUNCE_INTERVAL_MS, () => void announce());
     };
     await announce();
 }
--- a/standins/worker/journal.ts
+++ b/standins/worker/journal.ts
@@ -1,4 +1,4 @@
-/** What a worker really ran: the evidence that scenarios and benchmarks count from. */
+/** The journal of the tasks that a worker ran, from which scenarios and benchmarks count violations. */
 
 export interface JournalEntry {
     readonly workerId: string;
@@ -8,7 +8,7 @@
     readonly payload: string;
     readonly accelerators: number;
     readonly startedAt: number;
-    /** `undefined` while it runs. */
+    /** `undefined` while the task runs. */
     endedAt: number | undefined;
     ended: "finished" | "failed" | "stopped" | undefined;
 }
--- a/standins/worker/payload.ts
+++ b/standins/worker/payload.ts
@@ -1,19 +1,19 @@
-/** The work order that stand-in workers understand, as JSON in the payload of a task. */
+/** The JSON payload of a task for the stand-in workers. */
 import * as z from "zod";
 
 export const payloadSchema = z.object({
     /** How long the task runs, in milliseconds. */
     runMs: z.number().nonnegative().default(0),
-    /** Comes back in the answer, so that a caller can tell its own answer from another's. */
+    /** Returned in the answer, so that a caller can verify that the answer belongs to its request. */
     mark: z.string().default(""),
-    /** The task fails on any worker: the job's fault. */
+    /** The task fails on every worker, as that of a faulty job does. */
     fails: z.boolean().default(false),
-    /** Bytes of filling in the answer. */
+    /** Bytes of padding in the answer. */
     answerBytes: z.number().int().nonnegative().default(0),
 });
 export type Payload = z.infer<typeof payloadSchema>;
 
-/** A payload that is not such an order runs for no time and has no mark. */
+/** Parses a payload. An invalid one gets the defaults: it runs for 0 ms and has no mark. */
 export function readPayload(text: string): Payload {
     try {
         return payloadSchema.parse(JSON.parse(text));
--- a/standins/worker/server.ts
+++ b/standins/worker/server.ts
@@ -1,4 +1,4 @@
-/** The stand-in worker as an HTTP server, with faults. */
+/** Serves a stand-in worker over HTTP, with faults. */
 import * as z from "zod";
 import type * as clock from "../../src/clock/index";
 import type * as random from "../../src/random/index";
@@ -40,17 +40,18 @@
     mode: z.enum(["tombstone", "checkpoint"]),
     note: z.string(),
 });
-const answerSchema = z.object({ taskId: z.string() });
+const outcomeSchema = z.object({ taskId: z.string() });
 
 export interface WorkerServerOptions {
     readonly clock: clock.Clock;
     readonly rng: random.Random;
     readonly core: workerCore.WorkerCore;
     readonly faults: WorkerFaultSwitch;
-    /** Served under `/journal` when given. */
+    /** Served at `/journal`; without it the path returns an empty list. */
     readonly journal?: journal.Journal;
 }
 
+/** The active faults of one worker. */
 export interface WorkerFaultSwitch {
     get(): faults.WorkerFaults;
     set(changed: Partial<faults.WorkerFaults>): void;
@@ -79,17 +80,19 @@
     const getFaults = options.faults.get;
     let previousTaskId = "";
 
-    const sendRun = (answered: workers.WorkerResult<workers.RunOutcome>): httpServer.StandinResponse | undefined => {
-        if (answered.kind === "fault") {
-            return { status: STATUS_FAULT, body: answered.fault };
+    const toRunResponse = (
+        coreResult: workers.WorkerResult<workers.RunOutcome>,
+    ): httpServer.StandinResponse | undefined => {
+        if (coreResult.kind === "fault") {
+            return { status: STATUS_FAULT, body: coreResult.fault };
         }
-        if (answered.value.kind !== "finished") {
-            return { status: STATUS_ENDED, body: answered.value };
+        if (coreResult.value.kind !== "finished") {
+            return { status: STATUS_ENDED, body: coreResult.value };
         }
-        return sendAnswer(answered.value.answer);
+        return toAnswerResponse(coreResult.value.answer);
     };
 
-    const sendAnswer = (answer: workers.TaskAnswer): httpServer.StandinResponse => {
+    const toAnswerResponse = (answer: workers.TaskAnswer): httpServer.StandinResponse => {
         const truncated = rng.nextFloat() < getFaults().truncateAnswers;
         const crossed = rng.nextFloat() < getFaults().crossAnswers && previousTaskId !== "";
         const headers = { "x-task-id": crossed ? previousTaskId : answer.taskId, "x-digest": answer.digest };
@@ -101,39 +104,41 @@
         };
     };
 
-    const send = <T>(answered: workers.WorkerResult<T>): httpServer.StandinResponse =>
-        answered.kind === "ok" ? { status: 200, body: answered.value } : { status: STATUS_FAULT, body: answered.fault };
+    const toResponse = <T>(coreResult: workers.WorkerResult<T>): httpServer.StandinResponse =>
+        coreResult.kind === "ok"
+            ? { status: 200, body: coreResult.value }
+            : { status: STATUS_FAULT, body: coreResult.fault };
 
     const execute = async (path: string, text: string): Promise<httpServer.StandinResponse | undefined> => {
         const body: unknown = JSON.parse(text);
         switch (path) {
             case "/lease": {
                 const { holder, ttlMs } = leaseSchema.parse(body);
-                return send(await core.acquireLease(holder, ttlMs));
+                return toResponse(await core.acquireLease(holder, ttlMs));
             }
             case "/release":
                 await core.releaseLease(tokenSchema.parse(body).token);
                 return { status: 200, body: {} };
             case "/sync":
-                return send(await core.sync(syncSchema.parse(body)));
+                return toResponse(await core.sync(syncSchema.parse(body)));
             case "/run": {
                 const { token, order } = taskOrderSchema.parse(body);
-                return sendRun(await core.run(token, order, 0));
+                return toRunResponse(await core.run(token, order, 0));
             }
             case "/tasks": {
                 const { token, order } = taskOrderSchema.parse(body);
-                return send(await core.create(token, order));
+                return toResponse(await core.create(token, order));
             }
             case "/tasks/start": {
                 const { token, taskId } = taskSchema.parse(body);
-                return send(await core.start(token, taskId));
+                return toResponse(await core.start(token, taskId));
             }
             case "/tasks/stop": {
                 const { token, taskId, mode, note } = stopSchema.parse(body);
-                return send(await core.stop(token, taskId, mode, note));
+                return toResponse(await core.stop(token, taskId, mode, note));
             }
             case "/tasks/outcome":
-                return sendRun(await core.getOutcome(answerSchema.parse(body).taskId));
+                return toRunResponse(await core.getOutcome(outcomeSchema.parse(body).taskId));
             default:
                 return { status: 404, body: { message: "no such call" } };
         }
@@ -148,7 +153,7 @@
             return { status: 200, body: options.journal?.getEntries() ?? [] };
         }
         if (path === "/direct") {
-            // The same work without leases and tasks, for benchmarks to compare with.
+            // Runs the payload without a lease and a task; benchmarks compare with this latency.
             return { status: 200, body: payloads.createAnswerBody(payloads.readPayload(body.toString("utf8"))) };
         }
         while (getFaults().paused) {
@@ -161,7 +166,7 @@
             await options.clock.sleep(getFaults().slowMs);
         }
         const answer = await execute(path, body.toString("utf8"));
-        const loses = path !== "/sync" && rng.nextFloat() < getFaults().loseAnswers;
-        return loses || getFaults().down ? undefined : answer;
+        const isResponseLost = path !== "/sync" && rng.nextFloat() < getFaults().loseAnswers;
+        return isResponseLost || getFaults().down ? undefined : answer;
     });
 }
--- a/standins/worker/workerCore.ts
+++ b/standins/worker/workerCore.ts
@@ -1,4 +1,4 @@
-/** A worker's leases, fencing tokens and tasks, in memory. A task runs by waiting until the clock says it is done. */
+/** A worker's leases, fencing tokens and tasks, in memory. A running task is a timer on the clock. */
 import * as crypto from "node:crypto";
 import type * as clock from "../../src/clock/index";
 import * as workers from "../../src/workers/index";
@@ -11,15 +11,17 @@
     readonly capacity: workers.TaskNeeds;
     readonly incarnation: number;
     readonly journal: journal.Journal;
-    /** How long it takes to save a task's progress. */
+    /** Time to save a task's progress. */
     readonly checkpointMs: number;
-    /** Whether a task that starts now fails at once. */
+    /** Whether a task that starts now fails immediately. */
     readonly shouldFailTasks: () => boolean;
 }
 
-/** The part of the port that needs no connection; `close` empties the worker as a crash would. */
+/** The part of the worker port that needs no connection. */
 export interface WorkerCore extends Omit<workers.Worker, "close"> {
+    /** Ends all tasks and forgets them, as a crash of the worker does. */
     crash(): void;
+    /** Returns the capacity that no task holds. */
     getFreeResources(): workers.TaskNeeds;
 }
 
@@ -36,39 +38,39 @@
     cancelEnd: clock.CancelTimer;
     cancelLease: clock.CancelTimer;
     readonly ended: Array<() => void>;
-    forgetAt: number | undefined;
+    expiresAt: number | undefined;
 }
 
-/** Ended interactive tasks and tombstones are remembered for this long. */
-const RETENTION_MS = 600_000;
+/** Time for which ended tasks and tombstones are kept. */
+const ENDED_TASK_RETENTION_MS = 600_000;
 const NO_NEEDS: workers.TaskNeeds = { accelerators: 0, slots: 0, cpus: 0, memoryMb: 0 };
-const nothing = () => undefined;
+const noop = () => undefined;
 
 export function createWorkerCore(options: WorkerCoreOptions): WorkerCore {
     const { clock: time, id } = options;
     const startedAt = time.now();
     const tasks = new Map<string, Task>();
-    /** The tasks that a sync call reports: those that hold resources, and ended ones that wait to be acknowledged. */
-    const listed = new Set<Task>();
-    const waiters = new Set<() => void>();
+    /** The tasks that a sync call reports: those that hold resources, and ended ones that are not acknowledged yet. */
+    const reported = new Set<Task>();
+    const syncWaiters = new Set<() => void>();
     let lease: { holder: string; token: number; expiresAt: number; } | undefined;
     let lastToken = 0;
     let sequence = 0;
     let used: workers.TaskNeeds = NO_NEEDS;
 
     const fault = <T>(value: workers.WorkerFault): workers.WorkerResult<T> => ({ kind: "fault", fault: value });
-    const okay = <T>(value: T): workers.WorkerResult<T> => ({ kind: "ok", value });
+    const ok = <T>(value: T): workers.WorkerResult<T> => ({ kind: "ok", value });
     const isCurrent = (token: number) => !!lease && lease.token === token && time.now() < lease.expiresAt;
     const holdsResources = (task: Task) => task.state === "prepared" || task.state === "running";
 
-    const noteChange = (task: Task) => {
-        // Interactive tasks come by the hundred; their ends are answers of `run`, not news for the sync call.
+    const notifyWaiters = (task: Task) => {
+        // Interactive tasks, which belong to no queue, are frequent, and `run` returns their ends; they don't wake sync calls.
         if (task.order.queueZone === "") {
             return;
         }
         sequence++;
-        for (const wake of [...waiters]) {
-            wake();
+        for (const wakeWaiter of [...syncWaiters]) {
+            wakeWaiter();
         }
     };
 
@@ -83,7 +85,7 @@
         message: task.message,
     });
 
-    const end = (task: Task, state: "finished" | "failed" | "stopped" | "tombstoned", message: string) => {
+    const endTask = (task: Task, state: "finished" | "failed" | "stopped" | "tombstoned", message: string) => {
         if (holdsResources(task)) {
             used = combine(used, task.order.needs, -1);
         }
@@ -94,31 +96,31 @@
         task.cancelLease();
         task.state = state;
         task.message = message;
-        task.forgetAt = time.now() + RETENTION_MS;
+        task.expiresAt = time.now() + ENDED_TASK_RETENTION_MS;
         if (task.entry && state !== "tombstoned") {
             task.entry.endedAt = time.now();
             task.entry.ended = state;
         }
         if (task.order.queueZone === "") {
-            listed.delete(task);
+            reported.delete(task);
         }
         for (const callback of task.ended) {
             callback();
         }
         task.ended.length = 0;
-        noteChange(task);
+        notifyWaiters(task);
     };
 
     const renewTaskLease = (task: Task, leaseMs: number) => {
         task.cancelLease();
         task.cancelLease = time.setTimer(leaseMs, () => {
             if (holdsResources(task)) {
-                end(task, task.state === "running" ? "stopped" : "tombstoned", "lease lapsed");
+                endTask(task, task.state === "running" ? "stopped" : "tombstoned", "lease lapsed");
             }
         });
     };
 
-    const begin = (task: Task) => {
+    const startTask = (task: Task) => {
         task.state = "running";
         task.startedAt = time.now();
         task.entry = {
@@ -134,17 +136,17 @@
         };
         options.journal.add(task.entry);
         if (task.payload.fails || options.shouldFailTasks()) {
-            end(task, "failed", task.payload.fails ? "the work failed" : "the worker is faulty");
+            endTask(task, "failed", task.payload.fails ? "the work failed" : "the worker is faulty");
             return;
         }
-        const leftMs = Math.max(0, task.payload.runMs - task.order.resumeMs);
-        if (leftMs === 0) {
-            // A timer would take a millisecond at least, which would be counted as the product's.
-            end(task, "finished", "");
+        const remainingMs = Math.max(0, task.payload.runMs - task.order.resumeMs);
+        if (remainingMs === 0) {
+            // A timer takes at least a millisecond, which benchmarks would count as latency of the scheduler.
+            endTask(task, "finished", "");
             return;
         }
-        task.cancelEnd = time.setTimer(leftMs, () => end(task, "finished", ""));
-        noteChange(task);
+        task.cancelEnd = time.setTimer(remainingMs, () => endTask(task, "finished", ""));
+        notifyWaiters(task);
     };
 
     const add = (order: workers.TaskOrder): Task => {
@@ -158,27 +160,27 @@
             ranMs: 0,
             savedMs: 0,
             entry: undefined,
-            cancelEnd: nothing,
-            cancelLease: nothing,
+            cancelEnd: noop,
+            cancelLease: noop,
             ended: [],
-            forgetAt: undefined,
+            expiresAt: undefined,
         };
         tasks.set(order.taskId, task);
-        listed.add(task);
+        reported.add(task);
         used = combine(used, order.needs, 1);
         renewTaskLease(task, order.leaseMs);
         return task;
     };
 
-    const forgetOld = () => {
+    const removeExpiredTasks = () => {
         const now = time.now();
         for (const [taskId, task] of tasks) {
-            if (task.forgetAt !== undefined && task.forgetAt > now) {
+            if (task.expiresAt !== undefined && task.expiresAt > now) {
                 return;
             }
-            if (task.forgetAt !== undefined) {
+            if (task.expiresAt !== undefined) {
                 tasks.delete(taskId);
-                listed.delete(task);
+                reported.delete(task);
             }
         }
     };
@@ -187,14 +189,16 @@
         if (!isCurrent(token)) {
             return fault({ kind: "staleToken" });
         }
-        const known = tasks.get(order.taskId);
-        if (known) {
-            return known.state === "tombstoned" ? fault({ kind: "tombstoned", status: getStatus(known) }) : okay(known);
+        const existing = tasks.get(order.taskId);
+        if (existing) {
+            return existing.state === "tombstoned"
+                ? fault({ kind: "tombstoned", status: getStatus(existing) })
+                : ok(existing);
         }
         if (!fits(combine(used, order.needs, 1), options.capacity)) {
             return fault({ kind: "noRoom" });
         }
-        return okay(add(order));
+        return ok(add(order));
     };
 
     const waitForEnd = (task: Task) =>
@@ -215,11 +219,11 @@
     const getOutcome = (task: Task): workers.WorkerResult<workers.RunOutcome> => {
         switch (task.state) {
             case "finished":
-                return okay<workers.RunOutcome>({ kind: "finished", answer: getAnswer(task) });
+                return ok<workers.RunOutcome>({ kind: "finished", answer: getAnswer(task) });
             case "failed":
-                return okay<workers.RunOutcome>({ kind: "failed", message: task.message });
+                return ok<workers.RunOutcome>({ kind: "failed", message: task.message });
             case "stopped":
-                return okay<workers.RunOutcome>({ kind: "stopped" });
+                return ok<workers.RunOutcome>({ kind: "stopped" });
             case "tombstoned":
                 return fault({ kind: "tombstoned", status: getStatus(task) });
             case "prepared":
@@ -241,7 +245,7 @@
             start: false,
         };
         const task = add(order);
-        end(task, "tombstoned", "");
+        endTask(task, "tombstoned", "");
         return task;
     };
 
@@ -254,7 +258,7 @@
             }
             lastToken++;
             lease = { holder, token: lastToken, expiresAt: now + ttlMs };
-            return okay({ token: lastToken, ttlMs });
+            return ok({ token: lastToken, ttlMs });
         },
         releaseLease: async token => {
             if (isCurrent(token)) {
@@ -276,26 +280,26 @@
                 const task = tasks.get(taskId);
                 if (task && !holdsResources(task) && task.order.queueZone !== "") {
                     tasks.delete(taskId);
-                    listed.delete(task);
+                    reported.delete(task);
                 }
             }
             if (sequence === order.sequence && order.waitMs > 0) {
                 await new Promise<void>(resolve => {
-                    const wake = () => {
+                    const wakeWaiter = () => {
                         cancel();
-                        waiters.delete(wake);
+                        syncWaiters.delete(wakeWaiter);
                         resolve();
                     };
-                    const cancel = time.setTimer(order.waitMs, wake);
-                    waiters.add(wake);
+                    const cancel = time.setTimer(order.waitMs, wakeWaiter);
+                    syncWaiters.add(wakeWaiter);
                 });
             }
-            forgetOld();
-            return okay({
+            removeExpiredTasks();
+            return ok({
                 sequence,
                 incarnation: options.incarnation,
                 uptimeMs: time.now() - startedAt,
-                tasks: [...listed].map(getStatus),
+                tasks: [...reported].map(getStatus),
             });
         },
         run: async (token, order) => {
@@ -305,7 +309,7 @@
             }
             const task = admitted.value;
             if (task.state === "prepared") {
-                begin(task);
+                startTask(task);
             }
             await waitForEnd(task);
             return getOutcome(task);
@@ -316,9 +320,9 @@
                 return admitted;
             }
             if (order.start && admitted.value.state === "prepared") {
-                begin(admitted.value);
+                startTask(admitted.value);
             }
-            return okay(getStatus(admitted.value));
+            return ok(getStatus(admitted.value));
         },
         start: async (token, taskId) => {
             if (!isCurrent(token)) {
@@ -329,9 +333,9 @@
                 return fault({ kind: "unknownTask" });
             }
             if (task.state === "prepared") {
-                begin(task);
+                startTask(task);
             }
-            return okay(getStatus(task));
+            return ok(getStatus(task));
         },
         stop: async (token, taskId, mode, note) => {
             if (!isCurrent(token)) {
@@ -339,16 +343,16 @@
             }
             const task = tasks.get(taskId);
             if (!task) {
-                return okay(getStatus(createTombstone(taskId, note)));
+                return ok(getStatus(createTombstone(taskId, note)));
             }
             if (task.state === "running" && mode === "checkpoint") {
                 await time.sleep(options.checkpointMs);
                 task.savedMs = task.order.resumeMs + time.now() - task.startedAt;
             }
             if (holdsResources(task)) {
-                end(task, task.state === "running" ? "stopped" : "tombstoned", note);
+                endTask(task, task.state === "running" ? "stopped" : "tombstoned", note);
             }
-            return okay(getStatus(task));
+            return ok(getStatus(task));
         },
         getOutcome: async taskId => {
             const task = tasks.get(taskId);
@@ -357,11 +361,11 @@
         crash: () => {
             for (const task of tasks.values()) {
                 if (holdsResources(task)) {
-                    end(task, task.state === "running" ? "stopped" : "tombstoned", "the worker crashed");
+                    endTask(task, task.state === "running" ? "stopped" : "tombstoned", "the worker crashed");
                 }
             }
             tasks.clear();
-            listed.clear();
+            reported.clear();
         },
         getFreeResources: () => combine(options.capacity, used, -1),
     };
