--- a/bench/decisions.ts
+++ b/bench/decisions.ts
@@ -1,20 +1,24 @@
-/** Cost of one pass of the decisions: workers by waiting jobs, with the site three quarters full. */
+/**
+ * Measures the time of one scheduling pass by numbers of workers and waiting units, with 75% of the accelerators in
+ * use.
+ */
 import * as perfHooks from "node:perf_hooks";
 import * as decisions from "../src/decisions/index";
 import * as random from "../src/random/index";
 
-const WORKERS = [33, 350, 4_800];
-const WAITING = [100, 1_000, 10_000];
+const WORKER_COUNTS = [33, 350, 4_800];
+const WAITING_UNIT_COUNTS = [100, 1_000, 10_000];
 const ROUNDS = 5;
 const WARM_UP_ROUNDS = 20;
 const WORKERS_PER_RACK = 20;
 const CAPACITY = { cpuMillis: 32_000, memoryMb: 65_536, accelerators: 8 };
 const NEEDS = { cpuMillis: 2_000, memoryMb: 4_096, accelerators: 1 };
-/** Tasks that run on each worker: three quarters of its accelerators. */
-const RUNNING = 6;
-/** Of the waiting units one in so many is urgent, and one in so many a gang. */
-const URGENT_EVERY = 20;
-const GANG_EVERY = 10;
+/** Tasks that run on each worker; they use 75% of its accelerators. */
+const RUNNING_TASKS_PER_WORKER = 6;
+/** One in this many waiting units is urgent. */
+const URGENT_ONE_IN = 20;
+/** One in this many waiting units is a gang. */
+const GANG_ONE_IN = 10;
 const GANG_MEMBERS = 8;
 
 function createInput(workerCount: number, unitCount: number, source: random.Random): decisions.PlanInput {
@@ -24,14 +28,18 @@
         rack: `rack-${Math.floor(number / WORKERS_PER_RACK)}`,
         labels: [],
         capacity: CAPACITY,
-        used: { cpuMillis: RUNNING * 2_000, memoryMb: RUNNING * 4_096, accelerators: RUNNING },
+        used: {
+            cpuMillis: RUNNING_TASKS_PER_WORKER * 2_000,
+            memoryMb: RUNNING_TASKS_PER_WORKER * 4_096,
+            accelerators: RUNNING_TASKS_PER_WORKER,
+        },
         releasing: { cpuMillis: 0, memoryMb: 0, accelerators: 0 },
         latencySensitiveTasks: 0,
         bestEffortTasks: 0,
         occupancy: decisions.Company.Idle,
     }));
     const groups = workers.flatMap(worker =>
-        Array.from({ length: RUNNING }, (_, number): decisions.RunningGroup => ({
+        Array.from({ length: RUNNING_TASKS_PER_WORKER }, (_, number): decisions.RunningGroup => ({
             key: `${worker.id}-${number}`,
             tier: decisions.Claim.None,
             members: [{ workerId: worker.id, needs: NEEDS }],
@@ -40,7 +48,7 @@
         }))
     );
     const units = Array.from({ length: unitCount }, (_, number): decisions.WaitingUnit => {
-        const gang = number % GANG_EVERY === 0;
+        const gang = number % GANG_ONE_IN === 0;
         return {
             key: `unit-${number}`,
             equivalenceClass: `unit-${number}`,
@@ -51,7 +59,7 @@
             gang,
             sameRack: gang,
             maxPerWorker: 0,
-            tier: number % URGENT_EVERY === 0 ? decisions.Claim.Urgent : decisions.Claim.None,
+            tier: number % URGENT_ONE_IN === 0 ? decisions.Claim.Urgent : decisions.Claim.None,
             latencySensitive: false,
             bestEffort: false,
             mayCrashWorker: false,
@@ -67,9 +75,9 @@
     return [...values].sort((a, b) => a - b)[Math.floor(values.length / 2)]!;
 }
 
-/** Without it the first row shows how long the compiler takes. */
+/** Runs passes that are not measured; otherwise the first row would include the time of the JIT compiler. */
 function warmUp(): void {
-    const input = createInput(WORKERS[0]!, WAITING[1]!, random.createRandom(0));
+    const input = createInput(WORKER_COUNTS[0]!, WAITING_UNIT_COUNTS[1]!, random.createRandom(0));
     for (let round = 0; round < WARM_UP_ROUNDS; round++) {
         decisions.plan(input);
     }
@@ -77,8 +85,8 @@
 
 warmUp();
 process.stdout.write("workers  waiting  pass ms  us a unit  starts  stops  us a start or stop\n");
-for (const workerCount of WORKERS) {
-    for (const unitCount of WAITING) {
+for (const workerCount of WORKER_COUNTS) {
+    for (const unitCount of WAITING_UNIT_COUNTS) {
         const input = createInput(workerCount, unitCount, random.createRandom(unitCount + workerCount));
         const times: number[] = [];
         let plan: decisions.Plan | undefined;
--- a/bench/faults.ts
+++ b/bench/faults.ts
@@ -1,4 +1,6 @@
-/** Faults against a site of separate processes under load, counted from the workers' and the callers' own records. */
+/**
+ * Injects faults into a site of separate processes under load and counts violations from workers' and callers' records.
+ */
 import * as undici from "undici";
 import * as async from "../src/async/index";
 import * as clock from "../src/clock/index";
@@ -10,7 +12,7 @@
 
 interface FaultCase {
     readonly name: string;
-    /** Brings the fault about and ends it; the load goes on meanwhile. */
+    /** Injects the fault and ends it while the load continues. */
     readonly run: (site: processes.ProcessSite) => Promise<void>;
 }
 
@@ -19,13 +21,13 @@
     readonly sent: number;
     readonly completed: number;
     readonly notRun: number;
-    /** Interactive completions a second during the fault, over those before it. */
+    /** Completed interactive requests per second during the fault, divided by those before it. */
     readonly interactiveGoodput: number;
 }
 
-const BEFORE_MS = 6000;
-const AFTER_MS = 8000;
-const PATIENCE_MS = 60_000;
+const BASELINE_MS = 6000;
+const RECOVERY_MS = 8000;
+const CALLER_PATIENCE_MS = 60_000;
 const LOAD_SCALE = 0.5;
 
 async function post(url: string, body: unknown): Promise<unknown> {
@@ -130,15 +132,15 @@
         const rng = random.createRandom(seed);
         const log = load.createCallerLog();
         const client = load.createCallersClient(() => rng.pick(site.instances).callersOrigin, 32);
-        const runner = load.createLoad({ clock: time, rng, client, log, patienceMs: PATIENCE_MS });
+        const loadGenerator = load.createLoad({ clock: time, rng, client, log, patienceMs: CALLER_PATIENCE_MS });
         const stopped = async.createAbortController();
-        const running = runner.run(siteModule.getDemoStreams("cedarflue", LOAD_SCALE), stopped.signal);
+        const running = loadGenerator.run(siteModule.getDemoStreams("cedarflue", LOAD_SCALE), stopped.signal);
         const startedAt = time.now();
-        await processes.sleep(BEFORE_MS);
+        await processes.sleep(BASELINE_MS);
         const faultAt = time.now();
         await item.run(site);
         const endedAt = time.now();
-        await processes.sleep(AFTER_MS);
+        await processes.sleep(RECOVERY_MS);
         stopped.abort();
         await running;
         await client.close();
@@ -164,7 +166,7 @@
     }
 }
 
-/** The workers of one process share a journal, so one of each zone is asked. */
+/** Reads the journals. The workers of one process share one, and there is one process per zone. */
 async function readJournal(site: processes.ProcessSite): Promise<worker.JournalEntry[]> {
     const zones = [...new Set(site.workers.map(item => item.zone))];
     const origins = zones.map(zone => site.workers.find(item => item.zone === zone)!.origin);
@@ -175,18 +177,18 @@
 }
 
 async function main(): Promise<void> {
-    const only = process.argv.find(argument => argument.startsWith("--only="))?.slice("--only=".length);
+    const nameFilter = process.argv.find(argument => argument.startsWith("--only="))?.slice("--only=".length);
     const json = process.argv.includes("--json");
-    let broken = 0;
+    let violations = 0;
     for (const [index, item] of CASES.entries()) {
-        if (only !== undefined && !item.name.includes(only)) {
+        if (nameFilter !== undefined && !item.name.includes(nameFilter)) {
             continue;
         }
         const result = await runCase(item, index + 1);
-        broken += result.lost + result.duplicated + result.crossed + result.partialGangs + result.falseNotRun;
+        violations += result.lost + result.duplicated + result.crossed + result.partialGangs + result.falseNotRun;
         process.stdout.write(json ? `${JSON.stringify(result)}\n` : `${format(result)}\n`);
     }
-    process.exit(broken === 0 ? 0 : 1);
+    process.exit(violations === 0 ? 0 : 1);
 }
 
 function format(result: FaultResult): string {
--- a/bench/fuzz.ts
+++ b/bench/fuzz.ts
@@ -1,19 +1,19 @@
-/** Plays random sites until the runs are over: `npm run fuzz -- --runs 500 --seed 1`. Exits with 1 if a promise broke. */
+/** Simulates random sites: `npm run fuzz -- --runs 500 --seed 1`. Exits with 1 on any violation. */
 import * as commander from "commander";
 import * as emulator from "../src/emulator/index";
 
 async function main(): Promise<void> {
     const program = new commander.Command("fuzz")
-        .option("--runs <count>", "how many random sites to play", "200")
-        .option("--seed <number>", "seed of the first; each next has one more", "1")
-        .option("--no-slow-store", "leave out the spells in which the store is slow")
+        .option("--runs <count>", "how many random sites to simulate", "200")
+        .option("--seed <number>", "seed of the first site; each next site has the next seed", "1")
+        .option("--no-slow-store", "leave out periods in which the store is slow")
         .option(
             "--no-hazards",
-            "leave out tasks that take workers down, workers that crash, and capacities that change",
+            "leave out tasks that crash workers, workers that crash, and capacities that change",
         )
-        .option("--no-restarts", "leave out workers that start again under their ids")
-        .option("--shift <ms>", "play faults and events this much later against the leader's timers", "0")
-        .option("--log", "print the log lines of sites that broke a promise")
+        .option("--no-restarts", "leave out workers that restart under the same id")
+        .option("--shift <ms>", "delay faults and events by this much relative to the leader's timers", "0")
+        .option("--log", "print the log lines of sites with a violation")
         .parse();
     const options = program.opts<
         {
@@ -26,30 +26,30 @@
             restarts: boolean;
         }
     >();
-    const first = Number(options.seed);
-    let broken = 0;
-    let soundGivenUp = 0;
-    for (let seed = first; seed < first + Number(options.runs); seed++) {
+    const firstSeed = Number(options.seed);
+    let failedSites = 0;
+    let wronglyFailedJobs = 0;
+    for (let seed = firstSeed; seed < firstSeed + Number(options.runs); seed++) {
         const report = await emulator.runChaos(seed, {
             slowStore: options.slowStore,
             hazards: options.hazards,
             restarts: options.restarts,
             shiftMs: Number(options.shift),
         });
-        soundGivenUp += report.wronglyFailedJobs;
+        wronglyFailedJobs += report.wronglyFailedJobs;
         if (report.violations.length === 0) {
             continue;
         }
-        broken++;
+        failedSites++;
         process.stdout.write(`seed ${seed}: ${report.violations.join("; ")}\n`);
         for (const line of options.log ? report.lines : []) {
             process.stdout.write(`${JSON.stringify(line)}\n`);
         }
     }
     process.stdout.write(
-        `${options.runs} sites from seed ${first}, ${broken} with a broken promise; ${soundGivenUp} sound jobs given up\n`,
+        `${options.runs} sites from seed ${firstSeed}, ${failedSites} with a broken promise; ${wronglyFailedJobs} sound jobs given up\n`,
     );
-    process.exitCode = broken > 0 ? 1 : 0;
+    process.exitCode = failedSites > 0 ? 1 : 0;
 }
 
 void main();
--- a/bench/path.ts
+++ b/bench/path.ts
@@ -1,10 +1,12 @@
-/** Added latency and throughput of an interactive request, against a direct call to the same worker, in one run. */
+/**
+ * Measures latency and throughput of interactive requests, and the latency added to a direct call to the same workers.
+ */
 import * as undici from "undici";
 import * as observe from "../src/observe/index";
 import * as processes from "./processes";
 
 const WARM_UP_CALLERS = 16;
-const WARM_UP = 1000;
+const WARM_UP_CALLS = 1000;
 const SAMPLES = 1500;
 const ROUNDS = 3;
 const THROUGHPUT_MS = 5000;
@@ -22,11 +24,11 @@
     try {
         await processes.sleep(2000);
         const agent = new undici.Agent({ connections: 128 });
-        const direct = createDirect(site, agent);
-        const repeatable = createThrough(site, agent, true);
-        const once = createThrough(site, agent, false);
+        const direct = createDirectCall(site, agent);
+        const repeatable = createSchedulerCall(site, agent, true);
+        const once = createSchedulerCall(site, agent, false);
         for (const call of [direct, repeatable, once]) {
-            await Promise.all(Array.from({ length: WARM_UP_CALLERS }, () => measure(call, WARM_UP)));
+            await Promise.all(Array.from({ length: WARM_UP_CALLERS }, () => measure(call, WARM_UP_CALLS)));
         }
         const rounds: Array<Record<"direct" | "repeatable" | "once", Latency>> = [];
         for (let round = 0; round < ROUNDS; round++) {
@@ -66,7 +68,7 @@
 
 type Call = () => Promise<void>;
 
-function createDirect(site: processes.ProcessSite, agent: undici.Agent): Call {
+function createDirectCall(site: processes.ProcessSite, agent: undici.Agent): Call {
     const body = JSON.stringify({ runMs: 0, mark: "direct" });
     let next = 0;
     return async () => {
@@ -76,16 +78,21 @@
     };
 }
 
-function createThrough(site: processes.ProcessSite, agent: undici.Agent, repeatable: boolean): Call {
+function createSchedulerCall(site: processes.ProcessSite, agent: undici.Agent, repeatable: boolean): Call {
     const body = JSON.stringify({ class: "interactive", repeatable, payload: JSON.stringify({ runMs: 0, mark: "m" }) });
     const headers = { "authorization": `Bearer ${ACCOUNT_KEY}`, "content-type": "application/json" };
     let next = 0;
     return async () => {
-        const { callersOrigin: callers } = site.instances[next++ % site.instances.length]!;
-        const res = await undici.request(`${callers}/v1/jobs`, { dispatcher: agent, method: "POST", headers, body });
+        const { callersOrigin } = site.instances[next++ % site.instances.length]!;
+        const res = await undici.request(`${callersOrigin}/v1/jobs`, {
+            dispatcher: agent,
+            method: "POST",
+            headers,
+            body,
+        });
         const answer = await res.body.text();
         if (res.statusCode !== 200) {
-            throw new Error(`refused: ${answer}`);
+            throw new Error(`interactive request failed: ${answer}`);
         }
     };
 }
@@ -102,16 +109,16 @@
 }
 
 async function measureThroughput(call: Call): Promise<number> {
-    const until = performance.now() + THROUGHPUT_MS;
-    let done = 0;
+    const deadline = performance.now() + THROUGHPUT_MS;
+    let completed = 0;
     const loop = async () => {
-        while (performance.now() < until) {
+        while (performance.now() < deadline) {
             await call();
-            done++;
+            completed++;
         }
     };
     await Promise.all(Array.from({ length: CONCURRENCY }, loop));
-    return done / (THROUGHPUT_MS / 1000);
+    return completed / (THROUGHPUT_MS / 1000);
 }
 
 function median(values: readonly number[]): number {
--- a/bench/placement.ts
+++ b/bench/placement.ts
@@ -1,17 +1,19 @@
-/** Decisions a second of the scheduler at several sizes of one zone, and the time to compute a guarantee plan. */
+/**
+ * Measures decisions per second of the scheduler for zones of several sizes, and the time to compute a guarantee plan.
+ */
 import type * as clock from "../src/clock/index";
 import * as configuration from "../src/configuration/index";
 import * as placement from "../src/placement/index";
 import * as queue from "../src/queue/index";
 import * as random from "../src/random/index";
 
-const SIZES = [30, 300, 4800];
-const ACCOUNTS = 200;
-const QUEUED = 10_000;
+const WORKER_COUNTS = [30, 300, 4800];
+const ACCOUNT_COUNT = 200;
+const QUEUED_JOBS = 10_000;
 const ROUNDS = 5;
-const DECISIONS = 20_000;
+const MIN_DECISIONS = 20_000;
 
-interface Measured {
+interface Measurement {
     readonly workers: number;
     readonly decisionsPerSecond: number;
     readonly microseconds: number;
@@ -19,8 +21,8 @@
 }
 
 function createSite(workerCount: number): configuration.Site {
-    const key = (text: string) => ({ sha256: configuration.hashKey(text) });
-    const names = Array.from({ length: ACCOUNTS }, (_, index) => `account-${index}`);
+    const createKey = (text: string) => ({ sha256: configuration.hashKey(text) });
+    const names = Array.from({ length: ACCOUNT_COUNT }, (_, index) => `account-${index}`);
     return configuration.siteSchema.parse({
         preset: "ordinary",
         topology: {
@@ -35,14 +37,14 @@
                 })),
             })),
         },
-        accounts: names.map(name => ({ name, keys: [key(name)] })),
-        operators: [{ name: "operator", keys: [key("operator")] }],
+        accounts: names.map(name => ({ name, keys: [createKey(name)] })),
+        operators: [{ name: "operator", keys: [createKey("operator")] }],
         presets: [{
             name: "ordinary",
             kind: "ordinary",
-            guarantees: names.slice(0, Math.min(ACCOUNTS, workerCount / 2)).map(account => ({
+            guarantees: names.slice(0, Math.min(ACCOUNT_COUNT, workerCount / 2)).map(account => ({
                 account,
-                blocks: Math.max(1, Math.floor(workerCount / ACCOUNTS / 2)),
+                blocks: Math.max(1, Math.floor(workerCount / ACCOUNT_COUNT / 2)),
                 acceleratorsPerBlock: 8,
                 adjacency: "worker",
             })),
@@ -50,7 +52,7 @@
     });
 }
 
-function measure(workerCount: number, seed: number): Measured {
+function measure(workerCount: number, seed: number): Measurement {
     const rng = random.createRandom(seed);
     const site = createSite(workerCount);
     const current: configuration.Configuration = {
@@ -78,11 +80,11 @@
     const scheduler = queue.createScheduler(time, queue.getShapes(current, "zone-a"));
     scheduler.setTerms({ policy: site.policy, accounts: site.accounts, homes: plan.parts, drained: new Set() });
     let nextId = 0;
-    const add = () => {
+    const addJob = () => {
         nextId++;
         scheduler.add({
             jobId: `j${nextId}`,
-            account: `account-${rng.nextInt(ACCOUNTS)}`,
+            account: `account-${rng.nextInt(ACCOUNT_COUNT)}`,
             jobClass: "batch",
             accelerators: rng.pick([1, 1, 2, 4, 8]),
             adjacency: "any",
@@ -99,11 +101,11 @@
             failedAt: undefined,
         });
     };
-    for (let count = 0; count < QUEUED; count++) {
-        add();
+    for (let count = 0; count < QUEUED_JOBS; count++) {
+        addJob();
     }
     const running: string[] = [];
-    const pass = () => {
+    const runPass = () => {
         let started = 0;
         for (const decision of scheduler.decide()) {
             if (decision.kind === "start") {
@@ -116,21 +118,21 @@
         }
         return started;
     };
-    pass();
+    runPass();
     let decisions = 0;
     const startedAt = performance.now();
-    while (decisions < DECISIONS) {
+    while (decisions < MIN_DECISIONS) {
         now += 50;
-        // As in an instance: the ends of a few milliseconds share one pass.
+        // As in an instance, one pass handles all jobs that end within a few milliseconds.
         const ends = Math.min(running.length, Math.max(4, Math.floor(running.length / 10)));
         for (let count = 0; count < ends; count++) {
             const index = rng.nextInt(running.length);
             scheduler.end(running[index]!, 500_000);
             running[index] = running.at(-1)!;
             running.pop();
-            add();
+            addJob();
         }
-        decisions += Math.max(1, pass());
+        decisions += Math.max(1, runPass());
     }
     const elapsedMs = performance.now() - startedAt;
     return {
@@ -145,7 +147,7 @@
     return [...values].sort((a, b) => a - b)[values.length >> 1]!;
 }
 
-const rows = SIZES.map(size => {
+const rows = WORKER_COUNTS.map(size => {
     const rounds = Array.from({ length: ROUNDS }, (_, round) => measure(size, round + 1));
     return {
         workers: size,
--- a/bench/policy.ts
+++ b/bench/policy.ts
@@ -1,9 +1,9 @@
-/** Compares the policies over both deployments' days: all mixes, several seeds, every policy in one run. */
+/** Compares the scheduling policies by simulated days of both deployments, for each workload mix and several seeds. */
 import * as workerThreads from "node:worker_threads";
 import * as configuration from "../src/configuration/index";
 import * as settings from "../src/settings/index";
 import * as site from "../standins/site/index";
-import * as day from "./policy/simulateDay";
+import * as simulation from "./policy/simulateDay";
 import * as workload from "./policy/workload";
 
 interface Trial {
@@ -34,19 +34,19 @@
 const POLICIES = ["fifoFirstFit", "bestFit", "guaranteed"] as const;
 const DEPLOYMENTS = ["cedarflue", "breizh"] as const;
 const SEEDS = [1, 2, 3, 4, 5];
-const LARGE = 16;
+const LARGE_JOB_ACCELERATORS = 16;
 const HOUR_MS = 3_600_000;
 const THREADS = 6;
 
 function runTrial(trial: Trial): TrialResult {
-    const file = settings.readSiteFile(site.getSiteFile(trial.deployment));
-    const { topology } = file;
+    const siteConfig = settings.readSiteFile(site.getSiteFile(trial.deployment));
+    const { topology } = siteConfig;
     const contracts = configuration.contractsSchema.parse({
-        accounts: file.accounts,
-        operators: file.operators,
-        presets: file.presets,
-        policy: file.policy,
-        limits: file.limits,
+        accounts: siteConfig.accounts,
+        operators: siteConfig.operators,
+        presets: siteConfig.presets,
+        policy: siteConfig.policy,
+        limits: siteConfig.limits,
     });
     const preset = trial.mix === "peak" || trial.mix === "maintenance" ? trial.mix : "ordinary";
     const policy: configuration.Policy = trial.policy === "guaranteed" ? contracts.policy : { kind: trial.policy };
@@ -55,21 +55,23 @@
         contracts: { ...contracts, policy },
         topology,
     };
-    const failing = new Map(
+    const failingUntilMs = new Map(
         trial.mix === "failingWorkers"
             ? topology.racks.map(rack => [rack.workers[0]!.id, 12 * HOUR_MS] as const).slice(0, 3)
             : [],
     );
-    const result = day.simulateDay({
+    const result = simulation.simulateDay({
         current,
         jobs: workload.createWorkload(trial.deployment, trial.mix, trial.seed),
         seed: trial.seed,
-        failingUntilMs: failing,
+        failingUntilMs,
         measureFromMs: 0,
         endMs: 3 * workload.DAY_MS,
     });
     const completions = result.completions.map(item => item.completionMs);
-    const large = result.completions.filter(item => item.accelerators >= LARGE).map(item => item.waitMs);
+    const large = result.completions.filter(item => item.accelerators >= LARGE_JOB_ACCELERATORS).map(item =>
+        item.waitMs
+    );
     const urgent = result.completions.filter(item => item.jobClass === "urgent").map(item => item.completionMs);
     const graceMs = contracts.limits.reclaimGraceMs;
     return {
@@ -110,20 +112,20 @@
 
 async function runAll(trials: readonly Trial[]): Promise<TrialResult[]> {
     const results: TrialResult[] = [];
-    let next = 0;
+    let nextIndex = 0;
     const runThread = () =>
         new Promise<void>((resolve, reject) => {
             const thread = new workerThreads.Worker(__filename);
-            const feed = () =>
-                next < trials.length
-                    ? thread.postMessage(trials[next++])
+            const runNextTrial = () =>
+                nextIndex < trials.length
+                    ? thread.postMessage(trials[nextIndex++])
                     : void thread.terminate().then(() => resolve());
             thread.on("message", (result: TrialResult) => {
                 results.push(result);
-                feed();
+                runNextTrial();
             });
             thread.on("error", reject);
-            feed();
+            runNextTrial();
         });
     await Promise.all(Array.from({ length: THREADS }, runThread));
     return results;
@@ -131,7 +133,7 @@
 
 interface Row extends Record<string, string | number> {}
 
-/** Medians over the seeds, ours as ratios to the baseline of the same seed. */
+/** Medians over the seeds; ratios are relative to the result of "fifoFirstFit" with the same seed. */
 function summarize(results: readonly TrialResult[]): Row[] {
     const rows: Row[] = [];
     for (const deployment of DEPLOYMENTS) {
@@ -140,21 +142,21 @@
                 continue;
             }
             for (const policy of POLICIES) {
-                const own = SEEDS.map(seed =>
+                const ownResults = SEEDS.map(seed =>
                     results.find(item =>
                         item.deployment === deployment && item.mix === mix && item.policy === policy
                         && item.seed === seed
                     )!
                 );
-                const base = SEEDS.map(seed =>
+                const baselineResults = SEEDS.map(seed =>
                     results.find(item =>
                         item.deployment === deployment && item.mix === mix && item.policy === "fifoFirstFit"
                         && item.seed === seed
                     )!
                 );
                 const ratio = (key: "meanCompletionMs" | "largeWaitP99Ms" | "fragmentation" | "interactiveP99Ms") =>
-                    median(own.map((item, index) => item[key] / Math.max(1e-9, base[index]![key])));
-                const pick = (
+                    median(ownResults.map((item, index) => item[key] / Math.max(1e-9, baselineResults[index]![key])));
+                const medianOf = (
                     key:
                         | "meanCompletionMs"
                         | "p50Ms"
@@ -166,27 +168,27 @@
                         | "utilisation"
                         | "lostWorkHours"
                         | "evictions",
-                ) => median(own.map(item => item[key]));
+                ) => median(ownResults.map(item => item[key]));
                 rows.push({
                     deployment,
                     mix,
                     policy,
-                    meanMin: round(pick("meanCompletionMs") / 60_000),
+                    meanMin: round(medianOf("meanCompletionMs") / 60_000),
                     meanRatio: round(ratio("meanCompletionMs")),
-                    p50Min: round(pick("p50Ms") / 60_000),
-                    p99Min: round(pick("p99Ms") / 60_000),
-                    urgentP99Min: round(pick("urgentP99Ms") / 60_000),
-                    largeWaitP99Min: round(pick("largeWaitP99Ms") / 60_000),
+                    p50Min: round(medianOf("p50Ms") / 60_000),
+                    p99Min: round(medianOf("p99Ms") / 60_000),
+                    urgentP99Min: round(medianOf("urgentP99Ms") / 60_000),
+                    largeWaitP99Min: round(medianOf("largeWaitP99Ms") / 60_000),
                     largeRatio: round(ratio("largeWaitP99Ms")),
-                    frag: round(pick("fragmentation")),
+                    frag: round(medianOf("fragmentation")),
                     fragRatio: round(ratio("fragmentation")),
-                    util: round(pick("utilisation")),
-                    evictions: pick("evictions"),
-                    lostHours: round(pick("lostWorkHours")),
-                    reclaimOk: `${own.reduce((sum, item) => sum + item.reclaimsWithinGrace, 0)}/${
-                        own.reduce((sum, item) => sum + item.reclaims, 0)
+                    util: round(medianOf("utilisation")),
+                    evictions: medianOf("evictions"),
+                    lostHours: round(medianOf("lostWorkHours")),
+                    reclaimOk: `${ownResults.reduce((sum, item) => sum + item.reclaimsWithinGrace, 0)}/${
+                        ownResults.reduce((sum, item) => sum + item.reclaims, 0)
                     }`,
-                    unfinished: own.reduce((sum, item) => sum + item.unfinished, 0),
+                    unfinished: ownResults.reduce((sum, item) => sum + item.unfinished, 0),
                 });
             }
         }
@@ -199,12 +201,12 @@
 }
 
 async function main(): Promise<void> {
-    const only = process.argv.find(argument => argument.startsWith("--mix="))?.slice("--mix=".length);
+    const mixFilter = process.argv.find(argument => argument.startsWith("--mix="))?.slice("--mix=".length);
     const trials = DEPLOYMENTS.flatMap(deployment =>
         workload.MIXES.flatMap(mix =>
             POLICIES.flatMap(policy => SEEDS.map(seed => ({ deployment, mix, policy, seed })))
         )
-    ).filter(trial => only === undefined || trial.mix === only);
+    ).filter(trial => mixFilter === undefined || trial.mix === mixFilter);
     const results = await runAll(trials);
     const rows = summarize(results);
     if (process.argv.includes("--json")) {
--- a/bench/policy/simulateDay.ts
+++ b/bench/policy/simulateDay.ts
@@ -1,4 +1,4 @@
-/** One day of a site: real admission, schedulers and health, on a clock that jumps from event to event. */
+/** Discrete-event simulation of one day of a site with the real admission, schedulers and worker health. */
 import * as heapJs from "heap-js";
 import type * as clock from "../../src/clock/index";
 import type * as configuration from "../../src/configuration/index";
@@ -14,10 +14,10 @@
     readonly unfinished: number;
     readonly fragmentation: number;
     readonly utilisation: number;
-    /** Accelerator milliseconds that were run and have to be run again. */
+    /** Accelerator milliseconds that evictions cost: saving a checkpoint and restoring it. */
     readonly lostWorkMs: number;
     readonly evictions: number;
-    /** Milliseconds from each decision to reclaim until the guaranteed job started. */
+    /** Time from each decision to reclaim until the guaranteed job started. */
     readonly reclaimDelaysMs: readonly number[];
     readonly interactiveLatenciesMs: readonly number[];
     readonly decisions: number;
@@ -35,9 +35,9 @@
     readonly current: configuration.Configuration;
     readonly jobs: readonly workload.WorkloadJob[];
     readonly seed: number;
-    /** Workers that fail every task, and until when. */
+    /** Time until which a worker fails every task, by worker id. */
     readonly failingUntilMs: ReadonlyMap<string, number>;
-    /** Jobs that arrive before are run but not counted: the site starts empty. */
+    /** Jobs that arrive earlier are run but not measured, as the site starts empty. */
     readonly measureFromMs: number;
     readonly endMs: number;
     readonly onEvict?: (cause: string, jobId: string) => void;
@@ -49,7 +49,7 @@
     zone: string;
     firstStartAt: number | undefined;
     startedAt: number;
-    epoch: number;
+    startCount: number;
 }
 
 interface Event {
@@ -57,16 +57,18 @@
     readonly run: () => void;
 }
 
-const SAMPLE_MS = 60_000;
-const TICK_MS = 10_000;
-/** How long saving a checkpoint takes, and what restoring it costs the job. */
+const SAMPLE_INTERVAL_MS = 60_000;
+const TICK_INTERVAL_MS = 10_000;
+/** Time to save a checkpoint. */
 const CHECKPOINT_MS = 2000;
+/** Time that a job needs to restore a checkpoint. */
 const RESTORE_MS = 20_000;
-const FAIL_AFTER_MS = 2000;
-const INTERACTIVE_GAP_MS = 2000;
-const INTERACTIVE_RUN_MS = 60;
-const MOVE_AFTER_MS = 2000;
+const FAILURE_DELAY_MS = 2000;
+const MEAN_INTERACTIVE_GAP_MS = 2000;
+const MEAN_INTERACTIVE_RUN_MS = 60;
+const MIN_WAIT_BEFORE_MOVE_MS = 2000;
 
+/** Runs all events up to `endMs`. */
 export function simulateDay(options: DayOptions): DayResult {
     const { current } = options;
     const rng = random.createRandom(options.seed);
@@ -79,7 +81,7 @@
             events.push({ at: now + ms, run });
             return () => undefined;
         },
-        sleep: () => Promise.reject(new Error("the day has no loops")),
+        sleep: () => Promise.reject(new Error("the simulated clock does not support sleep")),
     };
     const preset = current.contracts.presets.find(item => item.name === current.head.preset)!;
     const drained = new Set(preset.drainedWorkers);
@@ -93,20 +95,20 @@
         }
         return { zone, scheduler, health };
     });
-    const all = new Map<string, DayJob>();
+    const jobs = new Map<string, DayJob>();
     const completions: Completion[] = [];
-    const reclaims: number[] = [];
-    const reclaimAt = new Map<string, number>();
-    const interactiveMs: number[] = [];
+    const reclaimDelaysMs: number[] = [];
+    const reclaimedAt = new Map<string, number>();
+    const interactiveLatenciesMs: number[] = [];
     let lostWorkMs = 0;
     let evictions = 0;
     let decisions = 0;
     const sums = { fragmentation: 0, utilisation: 0, samples: 0 };
-    const passDue = new Set<string>();
+    const zonesToSchedule = new Set<string>();
 
     const getZone = (zone: string) => zones.find(item => item.zone === zone)!;
 
-    const refreshTerms = () => {
+    const updateTerms = () => {
         const lost = new Set(zones.flatMap(item => item.health.getSetAside()));
         const plan = placement.createPlan(preset, current.topology, lost);
         for (const { scheduler } of zones) {
@@ -118,7 +120,7 @@
             });
         }
     };
-    refreshTerms();
+    updateTerms();
 
     const getLoads = () =>
         zones.map(({ zone, scheduler }) => {
@@ -148,7 +150,7 @@
         getZoneLoads: getLoads,
     });
 
-    const arrive = (spec: workload.WorkloadJob, index: number) => {
+    const submitJob = (spec: workload.WorkloadJob, index: number) => {
         const account = current.contracts.accounts.find(item => item.name === spec.account)!;
         const zone = admission.chooseZone(account, {
             jobClass: spec.jobClass,
@@ -181,19 +183,19 @@
             failures: 0,
             failedAt: undefined,
         };
-        all.set(jobId, { spec, queued, zone: zone.value, firstStartAt: undefined, startedAt: 0, epoch: 0 });
+        jobs.set(jobId, { spec, queued, zone: zone.value, firstStartAt: undefined, startedAt: 0, startCount: 0 });
         getZone(zone.value).scheduler.add(queued);
-        passDue.add(zone.value);
+        zonesToSchedule.add(zone.value);
     };
 
-    const finish = (job: DayJob) => {
+    const finishJob = (job: DayJob) => {
         const { scheduler, health } = getZone(job.zone);
         const ended = scheduler.end(job.queued.jobId, now - job.startedAt)!;
         for (const member of ended.members) {
             health.recordSuccess(member.workerId);
         }
-        passDue.add(job.zone);
-        all.delete(job.queued.jobId);
+        zonesToSchedule.add(job.zone);
+        jobs.delete(job.queued.jobId);
         if (job.spec.arrivesAt >= options.measureFromMs) {
             completions.push({
                 account: job.spec.account,
@@ -205,7 +207,7 @@
         }
     };
 
-    const fail = (job: DayJob, workerId: string) => {
+    const failJob = (job: DayJob, workerId: string) => {
         const { scheduler, health } = getZone(job.zone);
         scheduler.end(job.queued.jobId, undefined);
         health.recordFailure(workerId, job.queued.jobId);
@@ -213,79 +215,79 @@
         job.queued.failures++;
         job.queued.failedAt = now;
         scheduler.add(job.queued);
-        refreshTerms();
-        passDue.add(job.zone);
+        updateTerms();
+        zonesToSchedule.add(job.zone);
     };
 
-    const start = (job: DayJob, members: readonly placement.Member[]) => {
+    const startJob = (job: DayJob, members: readonly placement.Member[]) => {
         job.startedAt = now;
         job.firstStartAt ??= now;
-        job.epoch++;
-        const { epoch } = job;
-        const reclaimed = reclaimAt.get(job.queued.jobId);
-        if (reclaimed !== undefined) {
-            reclaims.push(now - reclaimed);
-            reclaimAt.delete(job.queued.jobId);
+        job.startCount++;
+        const { startCount } = job;
+        const reclaimStartedAt = reclaimedAt.get(job.queued.jobId);
+        if (reclaimStartedAt !== undefined) {
+            reclaimDelaysMs.push(now - reclaimStartedAt);
+            reclaimedAt.delete(job.queued.jobId);
         }
         const faulty = members.find(member => (options.failingUntilMs.get(member.workerId) ?? 0) > now);
         const restoreMs = job.queued.savedMs > 0 ? RESTORE_MS : 0;
-        const leftMs = faulty ? FAIL_AFTER_MS : job.spec.runMs - job.queued.savedMs + restoreMs;
-        time.setTimer(leftMs, () => {
-            if (job.epoch !== epoch) {
+        const remainingMs = faulty ? FAILURE_DELAY_MS : job.spec.runMs - job.queued.savedMs + restoreMs;
+        time.setTimer(remainingMs, () => {
+            if (job.startCount !== startCount) {
                 return;
             }
             if (faulty) {
-                fail(job, faulty.workerId);
+                failJob(job, faulty.workerId);
                 return;
             }
-            finish(job);
+            finishJob(job);
         });
     };
 
-    const evict = (job: DayJob, cause: string) => {
+    const evictJob = (job: DayJob, cause: string) => {
         evictions++;
         options.onEvict?.(cause, job.queued.jobId);
         const { scheduler } = getZone(job.zone);
         if (cause === "reclaim") {
             for (const item of scheduler.getHeld()) {
-                if (!reclaimAt.has(item.jobId) && item.kind === "reclaim") {
-                    reclaimAt.set(item.jobId, now);
+                if (!reclaimedAt.has(item.jobId) && item.kind === "reclaim") {
+                    reclaimedAt.set(item.jobId, now);
                 }
             }
         }
-        job.epoch++;
+        job.startCount++;
         time.setTimer(CHECKPOINT_MS, () => {
             scheduler.end(job.queued.jobId, undefined);
             const restoreMs = job.queued.savedMs > 0 ? RESTORE_MS : 0;
-            const ran = Math.max(0, now - job.startedAt - CHECKPOINT_MS - restoreMs);
-            job.queued.savedMs = Math.min(job.spec.runMs, job.queued.savedMs + ran);
+            const ranMs = Math.max(0, now - job.startedAt - CHECKPOINT_MS - restoreMs);
+            job.queued.savedMs = Math.min(job.spec.runMs, job.queued.savedMs + ranMs);
             lostWorkMs += (CHECKPOINT_MS + RESTORE_MS) * job.spec.accelerators;
             scheduler.add(job.queued);
-            passDue.add(job.zone);
+            zonesToSchedule.add(job.zone);
         });
     };
 
-    const pass = (zone: string) => {
+    const schedule = (zone: string) => {
         for (const decision of getZone(zone).scheduler.decide()) {
             decisions++;
             if (decision.kind === "start") {
-                start(all.get(decision.job.jobId)!, decision.members);
+                startJob(jobs.get(decision.job.jobId)!, decision.members);
             }
             else {
-                evict(all.get(decision.jobId)!, decision.cause);
+                evictJob(jobs.get(decision.jobId)!, decision.cause);
             }
         }
     };
 
-    const moveWaiting = () => {
+    const moveWaitingJobs = () => {
         for (const { zone, scheduler } of zones) {
             for (const queued of [...scheduler.queue.getJobs()]) {
-                const mayMove = now - queued.queuedAt > MOVE_AFTER_MS && !scheduler.isPlaceKept(queued.jobId);
+                const mayMove = now - queued.queuedAt > MIN_WAIT_BEFORE_MOVE_MS && !scheduler.isPlaceKept(queued.jobId);
                 const target = mayMove ? admission.findZoneWithRoom(queued, zone) : undefined;
                 if (target !== undefined && scheduler.remove(queued.jobId)) {
                     getZone(target).scheduler.add(queued);
-                    all.get(queued.jobId)!.zone = target;
-                    passDue.add(target);
+                    jobs.get(queued.jobId)!.zone = target;
+                    zonesToSchedule.add(target);
                     break;
                 }
             }
@@ -298,7 +300,7 @@
                 const usable = health.isUsable(worker.id) && !drained.has(worker.id);
                 if (usable !== worker.usable) {
                     scheduler.books.setUsable(worker.id, usable);
-                    passDue.add(zone);
+                    zonesToSchedule.add(zone);
                 }
             }
         }
@@ -323,21 +325,21 @@
         sums.utilisation += 1 - free / total;
     };
 
-    /** An interactive request takes a slot of the reserve, or one that queued work leaves free. */
-    const interactive = () => {
+    /** Simulates an interactive request, which takes a slot of the reserve or one that queued jobs leave free. */
+    const simulateInteractiveRequest = () => {
         const { scheduler } = rng.pick(zones);
         const reserve = current.contracts.limits.interactiveReserve;
         const slots = [...scheduler.books.workers.values()].reduce(
             (sum, worker) => sum + worker.free.slots + reserve.slots,
             0,
         );
-        const serviceMs = rng.nextExponential(INTERACTIVE_RUN_MS);
-        interactiveMs.push(slots > 0 ? serviceMs : serviceMs + INTERACTIVE_RUN_MS);
-        time.setTimer(rng.nextExponential(INTERACTIVE_GAP_MS), interactive);
+        const serviceMs = rng.nextExponential(MEAN_INTERACTIVE_RUN_MS);
+        interactiveLatenciesMs.push(slots > 0 ? serviceMs : serviceMs + MEAN_INTERACTIVE_RUN_MS);
+        time.setTimer(rng.nextExponential(MEAN_INTERACTIVE_GAP_MS), simulateInteractiveRequest);
     };
 
     for (const [index, spec] of options.jobs.entries()) {
-        events.push({ at: spec.arrivesAt, run: () => arrive(spec, index) });
+        events.push({ at: spec.arrivesAt, run: () => submitJob(spec, index) });
     }
     const every = (ms: number, run: () => void) => {
         time.setTimer(ms, () => {
@@ -345,13 +347,16 @@
             every(ms, run);
         });
     };
-    every(SAMPLE_MS, () => now >= options.measureFromMs && now <= options.measureFromMs + 24 * 3_600_000 && sample());
-    every(TICK_MS, () => {
+    every(
+        SAMPLE_INTERVAL_MS,
+        () => now >= options.measureFromMs && now <= options.measureFromMs + 24 * 3_600_000 && sample(),
+    );
+    every(TICK_INTERVAL_MS, () => {
         refreshHealth();
-        moveWaiting();
-        zones.forEach(item => passDue.add(item.zone));
+        moveWaitingJobs();
+        zones.forEach(item => zonesToSchedule.add(item.zone));
     });
-    time.setTimer(0, interactive);
+    time.setTimer(0, simulateInteractiveRequest);
 
     for (let event = events.pop(); event && event.at <= options.endMs; event = events.pop()) {
         now = event.at;
@@ -359,20 +364,20 @@
         while ((events.peek()?.at ?? Infinity) <= now) {
             events.pop()!.run();
         }
-        const due = [...passDue];
-        passDue.clear();
-        due.forEach(pass);
+        const due = [...zonesToSchedule];
+        zonesToSchedule.clear();
+        due.forEach(schedule);
     }
 
     return {
         completions,
-        unfinished: [...all.values()].filter(job => job.spec.arrivesAt >= options.measureFromMs).length,
+        unfinished: [...jobs.values()].filter(job => job.spec.arrivesAt >= options.measureFromMs).length,
         fragmentation: sums.fragmentation / sums.samples,
         utilisation: sums.utilisation / sums.samples,
         lostWorkMs,
         evictions,
-        reclaimDelaysMs: reclaims,
-        interactiveLatenciesMs: interactiveMs,
+        reclaimDelaysMs,
+        interactiveLatenciesMs,
         decisions,
     };
 }
--- a/bench/policy/workload.ts
+++ b/bench/policy/workload.ts
@@ -1,4 +1,4 @@
-/** A day's jobs of each deployment, in seven mixes, drawn from a seed. Times in milliseconds from midnight. */
+/** Random jobs of one day for each deployment and workload mix. Times are in milliseconds from midnight. */
 import type * as configuration from "../../src/configuration/index";
 import * as random from "../../src/random/index";
 import type * as site from "../../standins/site/index";
@@ -37,10 +37,10 @@
     readonly repeatableShare: number;
     readonly perHour: number;
     readonly meanRunMs: number;
-    /** Hours of the day in which it arrives. */
+    /** Hours of the day between which jobs arrive. */
     readonly from: number;
     readonly to: number;
-    /** Declared over real run time, in the median. */
+    /** Median of declared divided by actual run time. */
     readonly declaredFactor: number;
 }
 
@@ -206,6 +206,7 @@
 const ESTIMATE_SPREAD = 0.4;
 const WRONG_ESTIMATE_SPREAD = 1.6;
 
+/** Creates the jobs of a day, ordered by arrival; the same seed gives the same jobs. */
 export function createWorkload(deployment: site.DeploymentName, mix: Mix, seed: number): WorkloadJob[] {
     const rng = random.createRandom(seed * 7919 + MIXES.indexOf(mix));
     const streams = deployment === "cedarflue" ? CEDARFLUE : BREIZH;
@@ -267,7 +268,7 @@
     };
 }
 
-/** Box and Muller's transform. */
+/** Draws from the standard normal distribution by the Box-Muller transform. */
 function nextNormal(rng: random.Random): number {
     return Math.sqrt(-2 * Math.log(1 - rng.nextFloat())) * Math.cos(2 * Math.PI * rng.nextFloat());
 }
--- a/bench/processes.ts
+++ b/bench/processes.ts
@@ -1,4 +1,7 @@
-/** Starts a whole site as separate processes on loopback, for benchmarks. Benchmarks may start processes; the product never does. */
+/**
+ * Starts a whole site as separate processes on loopback, for benchmarks. Benchmarks may start processes; the software
+ * itself never does.
+ */
 import * as childProcess from "node:child_process";
 import * as fs from "node:fs";
 import * as os from "node:os";
@@ -25,14 +28,14 @@
     readonly instances: ProcessInstance[];
     readonly workers: ReadonlyArray<{ readonly id: string; readonly zone: string; readonly origin: string; }>;
     startInstance(zone: string): Promise<ProcessInstance>;
-    /** Ends what was started here, by process id. */
+    /** Kills the processes that were started here and removes their files. */
     stop(): Promise<void>;
 }
 
 export interface ProcessSiteOptions {
     readonly deployment: site.DeploymentName;
     readonly instances: number;
-    /** Further settings of each instance, by group. */
+    /** Overrides of the instances' settings, by group. */
     readonly settings?: Readonly<Record<string, Readonly<Record<string, unknown>>>>;
 }
 
@@ -43,67 +46,73 @@
 
 export async function startProcessSite(options: ProcessSiteOptions): Promise<ProcessSite> {
     const folder = fs.mkdtempSync(path.join(os.tmpdir(), "plantainchute-bench-"));
-    const base = settings.readSiteFile(site.getSiteFile(options.deployment));
+    const siteConfig = settings.readSiteFile(site.getSiteFile(options.deployment));
     const children: childProcess.ChildProcess[] = [];
     const instances: ProcessInstance[] = [];
-    let started = 0;
+    let startedInstances = 0;
 
-    const start = (name: string, args: readonly string[]): SiteProcess => {
-        const errors = fs.openSync(path.join(folder, `${name}.log`), "a");
-        const child = childProcess.spawn(process.execPath, [MAIN, ...args], { stdio: ["ignore", "ignore", errors] });
+    const startProcess = (name: string, args: readonly string[]): SiteProcess => {
+        const logFd = fs.openSync(path.join(folder, `${name}.log`), "a");
+        const child = childProcess.spawn(process.execPath, [MAIN, ...args], { stdio: ["ignore", "ignore", logFd] });
         children.push(child);
         return { name, child };
     };
-    const write = (name: string, value: object): string => {
+    const writeSettings = (name: string, value: object): string => {
         const file = path.join(folder, name);
         fs.writeFileSync(file, toml.stringify(value as Record<string, unknown>));
         return file;
     };
 
     const [platformPort] = await site.findFreePorts(1);
-    start("platform", [
+    startProcess("platform", [
         "standin",
         "platform",
         "--config",
-        write("platform.toml", { listen: `${HOST}:${platformPort}`, lagMs: 1000, expiryMs: 4000 }),
+        writeSettings("platform.toml", { listen: `${HOST}:${platformPort}`, lagMs: 1000, expiryMs: 4000 }),
     ]);
     const platformOrigin = `http://${HOST}:${platformPort}`;
 
-    const ids = base.topology.racks.flatMap(rack => rack.workers.map(worker => ({ id: worker.id, zone: rack.zone })));
-    const ports = await site.findFreePorts(ids.length);
-    const workers = ids.map((item, index) => ({
+    const workersWithZones = siteConfig.topology.racks.flatMap(rack =>
+        rack.workers.map(worker => ({ id: worker.id, zone: rack.zone }))
+    );
+    const ports = await site.findFreePorts(workersWithZones.length);
+    const workers = workersWithZones.map((item, index) => ({
         ...item,
         origin: `http://${HOST}:${ports[index]}`,
         listen: `${HOST}:${ports[index]}`,
     }));
-    for (const zone of base.topology.zones) {
-        const own = workers.filter(worker => worker.zone === zone);
-        start(`workers-${zone}`, [
+    for (const zone of siteConfig.topology.zones) {
+        const zoneWorkers = workers.filter(worker => worker.zone === zone);
+        startProcess(`workers-${zone}`, [
             "standin",
             "worker",
             "--config",
-            write(`workers-${zone}.toml`, {
-                capacity: base.topology.capacity,
+            writeSettings(`workers-${zone}.toml`, {
+                capacity: siteConfig.topology.capacity,
                 platform: platformOrigin,
-                workers: own.map(({ id, listen }) => ({ id, zone, listen })),
+                workers: zoneWorkers.map(({ id, listen }) => ({ id, zone, listen })),
             }),
         ]);
     }
     const addresses = new Map(workers.map(worker => [worker.id, worker.listen]));
-    const racks: configuration.Topology["racks"] = base.topology.racks.map(rack => ({
+    const racks: configuration.Topology["racks"] = siteConfig.topology.racks.map(rack => ({
         ...rack,
         workers: rack.workers.map(worker => ({ ...worker, address: addresses.get(worker.id)! })),
     }));
-    // Benchmarks look for the limits of the machine, not for those of a contract.
-    const accounts = base.accounts.map(account => ({ ...account, ratePerSecond: 1e6, burst: 1e6 }));
-    const siteFile = write("site.toml", { ...base, accounts, topology: { ...base.topology, racks } });
+    // The rate limits of accounts are lifted, as benchmarks measure the limits of the machine.
+    const accounts = siteConfig.accounts.map(account => ({ ...account, ratePerSecond: 1e6, burst: 1e6 }));
+    const siteFile = writeSettings("site.toml", {
+        ...siteConfig,
+        accounts,
+        topology: { ...siteConfig.topology, racks },
+    });
     await waitFor(() => isUp(`${platformOrigin}/statistics`));
 
     const startInstance = async (zone: string): Promise<ProcessInstance> => {
-        started++;
-        const id = `${zone}-${started}`;
+        startedInstances++;
+        const id = `${zone}-${startedInstances}`;
         const [callers, operators, peers] = await site.findFreePorts(3);
-        const file = write(`${id}.toml`, {
+        const file = writeSettings(`${id}.toml`, {
             instance: { id, zone },
             listen: { callers: `${HOST}:${callers}`, operators: `${HOST}:${operators}`, peers: `${HOST}:${peers}` },
             platform: { origin: platformOrigin },
@@ -112,7 +121,7 @@
             ...options.settings,
         });
         const item: ProcessInstance = {
-            ...start(id, ["serve", "--config", file]),
+            ...startProcess(id, ["serve", "--config", file]),
             zone,
             callersOrigin: `http://${HOST}:${callers}`,
             operatorsOrigin: `http://${HOST}:${operators}`,
@@ -122,7 +131,7 @@
     };
 
     for (let index = 0; index < options.instances; index++) {
-        await startInstance(base.topology.zones[index % base.topology.zones.length]!);
+        await startInstance(siteConfig.topology.zones[index % siteConfig.topology.zones.length]!);
     }
     const result: ProcessSite = {
         platformOrigin,
@@ -141,7 +150,7 @@
     return result;
 }
 
-/** What an instance says of itself; `undefined` when it does not answer. */
+/** Reads the status of an instance; `undefined` if it does not answer. */
 export async function readStatus(
     item: ProcessInstance,
 ): Promise<import("../src/instance/index").InstanceStatus | undefined> {
@@ -158,6 +167,7 @@
     }
 }
 
+/** Resolves when the process has exited. */
 export function waitForExit(child: childProcess.ChildProcess): Promise<void> {
     return new Promise(resolve => {
         if (typeof child.exitCode === "number" || typeof child.signalCode === "string") {
@@ -168,6 +178,7 @@
     });
 }
 
+/** Polls the condition until it is true; rejects after the timeout. */
 export async function waitFor(condition: () => Promise<boolean>, timeoutMs = READY_TIMEOUT_MS): Promise<void> {
     const deadline = Date.now() + timeoutMs;
     while (!await condition()) {
@@ -195,7 +206,10 @@
 
 async function isReady(item: ProcessSite): Promise<boolean> {
     const statuses = await Promise.all(item.instances.map(readStatus));
-    const usable = statuses.flatMap(status => status?.racks ?? []).reduce((sum, rack) => sum + rack.usableWorkers, 0);
-    const heard = statuses.every(status => status && status.peers.length >= item.instances.length - 1);
-    return usable === item.workers.length && heard;
+    const usableWorkers = statuses.flatMap(status => status?.racks ?? []).reduce(
+        (sum, rack) => sum + rack.usableWorkers,
+        0,
+    );
+    const hasAllPeers = statuses.every(status => status && status.peers.length >= item.instances.length - 1);
+    return usableWorkers === item.workers.length && hasAllPeers;
 }
--- a/soak/__tests__/link.test.ts
+++ b/soak/__tests__/link.test.ts
@@ -57,9 +57,9 @@
     });
 
     test("with a delay delivers all bytes", async () => {
-        // Timers and the time of day are rounded differently, so the timer of the last bytes can fire up to a millisecond
-        // before they are due. Unless it is set again, the bytes are stuck until more arrive: a call gets no answer, and a
-        // soak run reports a violation that did not happen.
+        // Timers and the time of day are rounded differently, so the timer of the last bytes can fire up to a
+        // millisecond before they are due. Unless it is set again, the bytes are stuck until more arrive: a call gets
+        // no answer, and a soak run reports a violation that did not happen.
         link.setDelay(1);
         for (let number = 0; number < 1_000; number++) {
             const arrived = new Promise<void>(resolve => client.once("data", () => resolve()));
--- a/soak/callers.ts
+++ b/soak/callers.ts
@@ -1,4 +1,6 @@
-/** Simulated callers: they submit jobs, retry refused requests, poll the states of their jobs, and cancel some of them. */
+/**
+ * Simulated callers: they submit jobs, retry refused requests, poll the states of their jobs, and cancel some of them.
+ */
 import * as events from "node:events";
 import * as standin from "../platform/standin/index";
 import type * as catalogs from "../src/catalog/index";
--- a/soak/faultInjection.ts
+++ b/soak/faultInjection.ts
@@ -32,7 +32,9 @@
     | { readonly kind: "forgetHistory"; }
     /** The worker's tasks take `factor` times as long. */
     | { readonly kind: "slowTasks"; readonly target: Target; readonly factor: number; }
-    /** The worker dies; its host starts another one at the end of the fault. `told`: the directory learns of it at once. */
+    /**
+     * The worker dies; its host starts another one at the end of the fault. `told`: the directory learns of it at once.
+     */
     | { readonly kind: "loseWorker"; readonly target: Target; readonly told: boolean; }
     /** The worker's capacity is reduced to this share. */
     | { readonly kind: "shrink"; readonly target: Target; readonly share: number; }
@@ -99,7 +101,10 @@
     return source.pick(kinds)();
 }
 
-/** Reductions of workers' capacity. They have a random source of their own, so that they don't change a seed's other faults. */
+/**
+ * Reductions of workers' capacity. They have a random source of their own, so that they don't change a seed's other
+ * faults.
+ */
 export function createCapacityReductions(
     source: random.Random,
     { workers, windowMs }: FaultScheduleOptions,
--- a/soak/operator.ts
+++ b/soak/operator.ts
@@ -1,4 +1,6 @@
-/** Simulated operator: writes configurations in quick succession and checks that no instance reverts to an older one. */
+/**
+ * Simulated operator: writes configurations in quick succession and checks that no instance reverts to an older one.
+ */
 import * as standin from "../platform/standin/index";
 import type * as catalogs from "../src/catalog/index";
 import type * as clock from "../src/clock/index";
@@ -23,8 +25,8 @@
 const TIMER_SLACK_MS = 500;
 
 /**
- * Creates the operator and writes a first configuration. `otherQueues` is the number of queues that no caller uses; they
- * make the configuration as large as that of a large site.
+ * Creates the operator and writes a first configuration. `otherQueues` is the number of queues that no caller uses;
+ * they make the configuration as large as that of a large site.
  */
 export function createOperator(
     site: sites.Site,
--- a/soak/run.ts
+++ b/soak/run.ts
@@ -1,4 +1,6 @@
-/** One soak run: starts a site, loads it while faults are injected and afterwards, and waits until every job has ended. */
+/**
+ * One soak run: starts a site, loads it while faults are injected and afterwards, and waits until every job has ended.
+ */
 import * as events from "node:events";
 import * as clocks from "../src/clock/index";
 import type * as emulator from "../src/emulator/index";
@@ -36,7 +38,9 @@
     readonly folder: string;
 }
 
-/** Time for the whole site to start, and more for each instance: one start takes 0.2 s of CPU time on a shared machine. */
+/**
+ * Time for the whole site to start, and more for each instance: one start takes 0.2 s of CPU time on a shared machine.
+ */
 const BASE_START_TIMEOUT_MS = 20_000;
 const START_TIMEOUT_PER_INSTANCE_MS = 500;
 /** A fault may still have effects for this long after its end; checks with a time limit skip this time as well. */
@@ -149,7 +153,10 @@
     ];
 }
 
-/** Its signal has a listener for each caller and poll, more than the default limit of Node.js, which would log a warning. */
+/**
+ * Its signal has a listener for each caller and poll, more than the default limit of Node.js, which would log a
+ * warning.
+ */
 function createAbortController(): AbortController {
     const controller = new AbortController();
     events.setMaxListeners(0, controller.signal);
--- a/soak/site.ts
+++ b/soak/site.ts
@@ -36,7 +36,9 @@
     /** Returns the id of the current worker's incarnation, if one runs. */
     getIncarnationId(): string | undefined;
     drain(remainingMs: number): void;
-    /** Sets the current worker's capacity to this share of the host's; the directory learns of it with the next report. */
+    /**
+     * Sets the current worker's capacity to this share of the host's; the directory learns of it with the next report.
+     */
     resize(share: number): void;
     /** Kills the current worker; `notifyDirectory` removes it from the directory at once, not after its expiry. */
     killWorker(notifyDirectory: boolean): void;
--- a/standins/platform/__tests__/contract.test.ts
+++ b/standins/platform/__tests__/contract.test.ts
@@ -1,4 +1,6 @@
-/** Contract tests of the platform's services, run against the embedded stand-in and through the HTTP client and server. */
+/**
+ * Contract tests of the platform's services, run against the embedded stand-in and through the HTTP client and server.
+ */
 import * as platform from "../../../src/backing/index";
 import * as clock from "../../../src/clock/index";
 import * as random from "../../../src/random/index";
@@ -117,8 +119,8 @@
     });
 
     test("a write whose response is lost is reported as unknown, although it took effect", async () => {
-        // The write is executed and the connection breaks before the response. If a missing response counted as a failed
-        // write, a job would be reported as "not run" although it runs.
+        // The write is executed and the connection breaks before the response. If a missing response counted as a
+        // failed write, a job would be reported as "not run" although it runs.
         subject.embedded.setFaults({ loseAnswers: 1 });
         expect((await put("lost", "1", 0)).kind).toBe("unknown");
         expect(await subject.services.table.get(["lost"])).toMatchObject({ value: [{ value: "1" }] });
--- a/standins/platform/membershipStore.ts
+++ b/standins/platform/membershipStore.ts
@@ -1,4 +1,7 @@
-/** A membership list with a propagation delay: readers see the state of `lagMs` ago, and entries that are not renewed expire. */
+/**
+ * A membership list with a propagation delay: readers see the state of `lagMs` ago, and entries that are not renewed
+ * expire.
+ */
 import type * as platform from "../../src/backing/index";
 import type * as clock from "../../src/clock/index";
 
--- a/standins/platform/server.ts
+++ b/standins/platform/server.ts
@@ -17,7 +17,10 @@
 const scanSchema = z.object({ prefix: z.string(), after: z.string(), limit: z.number() });
 const transactSchema = z.object({ writes: z.array(writeSchema) });
 
-/** Listens on `host:port`; port 0 takes a free one. While the platform is down, calls are dropped without a response. */
+/**
+ * Listens on `host:port`; port 0 takes a free one. While the platform is down, calls to its services are dropped
+ * without a response.
+ */
 export function startPlatformServer(
     host: string,
     port: number,
--- a/standins/site/__tests__/embeddedSite.test.ts
+++ b/standins/site/__tests__/embeddedSite.test.ts
@@ -1,4 +1,6 @@
-/** End-to-end tests over real TCP in one process: requests of callers and operators, also while instances stop or die. */
+/**
+ * End-to-end tests over real TCP in one process: requests of callers and operators, also while instances stop or die.
+ */
 import * as undici from "undici";
 import * as load from "../../../src/load/index";
 import * as result from "../../../src/result/index";
@@ -284,8 +286,8 @@
     });
 
     test("no job is lost when an instance is killed while jobs run", async () => {
-        // The owner of a job's rack or queue is killed while the job runs. If only that process had the state, nobody would
-        // finish the accepted job; the state is therefore in the job's row and at the worker.
+        // The owner of a job's rack or queue is killed while the job runs. If only that process had the state, nobody
+        // would finish the accepted job; the state is therefore in the job's row and at the worker.
         expect(await embedded.waitUntilReady(READY_MS)).toBe(true);
         const marks = Array.from({ length: 12 }, (_, index) => `killed-${index}`);
         for (const [index, mark] of marks.entries()) {
--- a/standins/stoppableClock.ts
+++ b/standins/stoppableClock.ts
@@ -1,4 +1,6 @@
-/** The system clock with timers that can all be cancelled; otherwise timers of long tasks would keep the process alive. */
+/**
+ * The system clock with timers that can all be cancelled; otherwise timers of long tasks would keep the process alive.
+ */
 import * as clock from "../src/clock/index";
 
 export interface StoppableClock extends clock.Clock {
--- a/standins/worker/workerCore.ts
+++ b/standins/worker/workerCore.ts
@@ -64,7 +64,8 @@
     const holdsResources = (task: Task) => task.state === "prepared" || task.state === "running";
 
     const notifyWaiters = (task: Task) => {
-        // Interactive tasks, which belong to no queue, are frequent, and `run` returns their ends; they don't wake sync calls.
+        // Interactive tasks, which belong to no queue, are frequent, and `run` returns their ends; they don't wake sync
+        // calls.
         if (task.order.queueZone === "") {
             return;
         }
--- a/verdict/__tests__/verdict.test.ts
+++ b/verdict/__tests__/verdict.test.ts
@@ -14,11 +14,11 @@
         ["has an entry and comments", `# why\n\n${ENTRY}\n\n\n# end\n`, { kind: "list", failures: [FAILURE] }],
         ["names no issue", ENTRY.replace("issue: 7", "issue: "), {
             kind: "invalid",
-            problems: ["an entry is not the four lines test, command, seen, issue: test: a.test.ts › one"],
+            problems: ["an entry does not consist of the four lines test, command, seen, issue: test: a.test.ts › one"],
         }],
         ["has no command", ENTRY.replace(/command.*\n/, ""), {
             kind: "invalid",
-            problems: ["an entry is not the four lines test, command, seen, issue: test: a.test.ts › one"],
+            problems: ["an entry does not consist of the four lines test, command, seen, issue: test: a.test.ts › one"],
         }],
         ["has an entry twice", `${ENTRY}\n\n${ENTRY}`, {
             kind: "invalid",
@@ -30,7 +30,7 @@
     });
 });
 
-describe("the verdict", () => {
+describe("the evaluation of results", () => {
     interface Case {
         readonly name: string;
         readonly outcomes: readonly verdict.CheckResult[];
@@ -87,13 +87,13 @@
         },
     ];
     test.each(cases)("$name", ({ outcomes, listed, problems, known }) => {
-        const judgement = verdict.evaluateResults(outcomes, listed);
-        expect(judgement.problems).toEqual(problems);
-        expect(judgement.known).toHaveLength(known);
+        const evaluation = verdict.evaluateResults(outcomes, listed);
+        expect(evaluation.problems).toEqual(problems);
+        expect(evaluation.known).toHaveLength(known);
     });
 });
 
-describe("what jest reports", () => {
+describe("the parser of Jest reports", () => {
     interface FileReport {
         readonly status: string;
         readonly tests: readonly string[];
@@ -104,7 +104,8 @@
             { name: "src/0.test.ts › t1", outcome: "failed" },
             { name: "src/0.test.ts › t2", outcome: "skipped" },
         ]],
-        // Symptom: a run lands though a file of tests could not be loaded. Cause: it has no tests that could fail.
+        // A test file that cannot be loaded has no tests in the report; the run must not pass because none of them
+        // failed.
         ["a file that cannot be run", false, [{ status: "failed", tests: [] }], [
             { name: "src/0.test.ts", outcome: "failed" },
         ]],
--- a/verdict/checkResult.ts
+++ b/verdict/checkResult.ts
@@ -1,13 +1,13 @@
-/** What became of each check of a run. */
+/** Outcomes of the checks of a CI run. */
 import * as path from "node:path";
 
 export interface CheckResult {
-    /** Of a test: its file below the root, " › ", and its full name; of another check: the command. */
+    /** For a test its file relative to the root, " › " and its full name; for another check its command. */
     readonly name: string;
     readonly outcome: "passed" | "failed" | "skipped";
 }
 
-/** The parts that are used of what `jest --json` writes. */
+/** The fields of the output of `jest --json` that are used here. */
 interface JestReport {
     readonly success: boolean;
     readonly testResults: ReadonlyArray<{
@@ -18,23 +18,26 @@
     }>;
 }
 
-/** A file that could not be run counts as a failed check of its own: none of its tests is in the report. */
+/**
+ * Parses a report of `jest --json`. A file that could not be run becomes a failed check of its own, as the report has
+ * none of its tests; so does a failed run without any failed test.
+ */
 export function readJestReport(text: string, root: string): readonly CheckResult[] {
     const report = JSON.parse(text) as JestReport;
     const results = report.testResults.flatMap(file => {
         const name = path.relative(root, file.name);
         const tests = file.assertionResults.map((test): CheckResult => ({
             name: `${name} › ${test.fullName}`,
-            outcome: toOutcome(test.status),
+            outcome: parseOutcome(test.status),
         }));
-        const couldNotRun = file.status === "failed" && !tests.some(test => test.outcome === "failed");
-        return couldNotRun ? [...tests, { name, outcome: "failed" as const }] : tests;
+        const hasFileFailure = file.status === "failed" && !tests.some(test => test.outcome === "failed");
+        return hasFileFailure ? [...tests, { name, outcome: "failed" as const }] : tests;
     });
-    const isExplained = report.success || results.some(result => result.outcome === "failed");
-    return isExplained ? results : [...results, { name: "jest", outcome: "failed" }];
+    const isFailureListed = report.success || results.some(result => result.outcome === "failed");
+    return isFailureListed ? results : [...results, { name: "jest", outcome: "failed" }];
 }
 
-function toOutcome(status: string): CheckResult["outcome"] {
+function parseOutcome(status: string): CheckResult["outcome"] {
     switch (status) {
         case "passed":
             return "passed";
--- a/verdict/evaluateResults.ts
+++ b/verdict/evaluateResults.ts
@@ -1,21 +1,21 @@
 /**
- * Whether a run may land.
+ * Compares the results of a run with the list of known failures.
  *
- * What goes wrong with a list that only excuses failures: a test that is mended stays listed, and excuses the next
- * fault that breaks it; a test that was renamed or skipped is no longer run, and nobody notices. So a listed check that
- * passes, is skipped or is not there fails the run as well.
+ * A listed check that passes, is skipped or is missing fails the run as well. Otherwise a fixed test could stay listed
+ * and hide the next regression, and a test that was renamed or skipped would no longer run without anyone noticing.
  */
 import type * as checkResult from "./checkResult";
 import type * as knownFailures from "./knownFailures";
 
 export interface Evaluation {
-    /** What keeps the run from landing; empty: it may. */
+    /** Reasons why the run fails; empty if it passes. */
     readonly problems: readonly string[];
-    /** The known failures that were seen again. */
+    /** The known failures that failed again. */
     readonly known: readonly knownFailures.KnownFailure[];
     readonly passed: number;
 }
 
+/** Evaluates the results of all checks against the known failures. */
 export function evaluateResults(
     results: readonly checkResult.CheckResult[],
     listed: readonly knownFailures.KnownFailure[],
--- a/verdict/index.ts
+++ b/verdict/index.ts
@@ -1,4 +1,4 @@
-/** The verdict of a run of all tests: what failed must be a known failure, and each known failure must still fail. */
+/** Decides whether a CI run passes: every failure must be a known one, and every known failure must still fail. */
 export { type CheckResult, readJestReport } from "./checkResult";
 export { evaluateResults, type Evaluation } from "./evaluateResults";
 export { type KnownFailure, type ParsedList, parseKnownFailures } from "./knownFailures";
--- a/verdict/knownFailures.ts
+++ b/verdict/knownFailures.ts
@@ -1,13 +1,13 @@
-/** The list of tests that fail for a fault which is known and not mended yet. */
+/** Parser of the list of tests that fail because of a known fault that is not fixed yet. */
 
 export interface KnownFailure {
     /** Name of the check, as `CheckResult.name`. */
     readonly test: string;
-    /** How to bring it about, with the seed where there is one. */
+    /** Command that reproduces the failure, with the seed if there is one. */
     readonly command: string;
-    /** What was seen. */
+    /** Observed failure. */
     readonly seen: string;
-    /** The open issue that it belongs to. */
+    /** The open issue of the fault. */
     readonly issue: string;
 }
 
@@ -17,7 +17,10 @@
 
 const FIELDS = ["test", "command", "seen", "issue"] as const;
 
-/** Entries are blocks of `field: text` lines with an empty line between them; lines that begin with # are comments. */
+/**
+ * Parses the list. Entries are blocks of `field: text` lines, separated by empty lines; lines that begin with # are
+ * comments.
+ */
 export function parseKnownFailures(text: string): ParsedList {
     const blocks = text.split("\n")
         .filter(line => !line.startsWith("#"))
@@ -30,7 +33,7 @@
     for (const block of blocks) {
         const entry = parseEntry(block);
         if (!entry) {
-            problems.push(`an entry is not the four lines ${FIELDS.join(", ")}: ${block.split("\n")[0]}`);
+            problems.push(`an entry does not consist of the four lines ${FIELDS.join(", ")}: ${block.split("\n")[0]}`);
             continue;
         }
         if (failures.some(other => other.test === entry.test)) {
@@ -41,7 +44,7 @@
     return problems.length > 0 ? { kind: "invalid", problems } : { kind: "list", failures };
 }
 
-/** `undefined` unless each field is there once, in order, and not empty. */
+/** Parses one entry; `undefined` unless it has each field once, in order and not empty. */
 function parseEntry(block: string): KnownFailure | undefined {
     const lines = block.split("\n");
     const values = FIELDS.map((field, position) => {
--- a/verdict/main.ts
+++ b/verdict/main.ts
@@ -1,6 +1,6 @@
 /**
- * `node dist/verdict/main.js --jest REPORT --check "COMMAND=EXIT CODE"`: prints known failures and what keeps the run
- * from landing, and exits with 1 if something does.
+ * `node dist/verdict/main.js --jest REPORT --check "COMMAND=EXIT CODE"`: prints the known failures and the reasons why
+ * the run fails, and exits with 1 if there are any such reasons.
  */
 import * as commander from "commander";
 import * as fs from "node:fs";
@@ -14,9 +14,9 @@
 
 function main(): void {
     const options = new commander.Command("verdict")
-        .requiredOption("--jest <file>", "what jest --json wrote")
-        .option("--check <result...>", "another check: its command, =, and its exit code", [])
-        .option("--list <file>", "the known failures", "KNOWN-RED.txt")
+        .requiredOption("--jest <file>", "report written by jest --json")
+        .option("--check <result...>", "another check, as COMMAND=EXIT_CODE", [])
+        .option("--list <file>", "list of known failures", "KNOWN-RED.txt")
         .parse()
         .opts<Options>();
     const parsed = verdict.parseKnownFailures(fs.existsSync(options.list) ? fs.readFileSync(options.list, "utf8") : "");
