--- a/soak/__tests__/faultInjection.test.ts
+++ b/soak/__tests__/faultInjection.test.ts
@@ -18,8 +18,8 @@
     const injector = faultInjection.createFaultInjector(random.createRandom(1));
     const endFirst = injector.addWorkerFault("w", 1, "late");
     const endSecond = injector.addWorkerFault("w", 1, "cut");
-    const endSlow = injector.addSlowness("w", 4);
-    const endSlower = injector.addSlowness("w", 20);
+    const endSlow = injector.addSlowdown("w", 4);
+    const endSlower = injector.addSlowdown("w", 20);
     expect(injector.workerFaults.decide("w", "start")).toBe("late");
     expect(injector.workerFaults.decide("other", "start")).toBe("none");
     expect(injector.workerFaults.getSlowdown("w")).toBe(20);
--- a/soak/faultInjection.ts
+++ b/soak/faultInjection.ts
@@ -125,7 +125,7 @@
     /** Activates a fault and returns the function that ends it, as the next two methods do. */
     addStoreFault(caller: string, share: number, fault: emulator.StoreFault): () => void;
     addWorkerFault(workerId: string, share: number, fault: emulator.OrderFault): () => void;
-    addSlowness(workerId: string, factor: number): () => void;
+    addSlowdown(workerId: string, factor: number): () => void;
 }
 
 /** A call with the fault "late" is executed up to this long after its caller has timed out. */
@@ -144,7 +144,7 @@
         },
         addStoreFault: store.add,
         addWorkerFault: workers.add,
-        addSlowness: (workerId, factor) => {
+        addSlowdown: (workerId, factor) => {
             const factors = slowdowns.get(workerId) ?? [];
             slowdowns.set(workerId, [...factors, factor]);
             return () => {
@@ -232,7 +232,7 @@
             site.store.discardHistory();
             return () => undefined;
         case "slowTasks":
-            return applyToAll(pickWorkerIds(site, fault.target), id => injector.addSlowness(id, fault.factor));
+            return applyToAll(pickWorkerIds(site, fault.target), id => injector.addSlowdown(id, fault.factor));
         case "loseWorker":
             return applyToAll(pickWorkers(site, fault.target), number => {
                 site.workerHosts[number]!.killWorker(fault.told);
--- a/soak/main.ts
+++ b/soak/main.ts
@@ -6,7 +6,7 @@
 const SIZES = {
     /** Jobs use two thirds of the accelerators on average; with more load than capacity every job would be late. */
     small: { instances: 5, workers: 9, faultCount: 12, jobsPerSecond: 1.5, otherQueues: 0 },
-    /** A link of 7 Mbit/s, the minimum that is supported, takes 1.5 s to transfer a configuration of this size. */
+    /** A link of 7 Mbit/s, as the slowest sites have, takes 1.5 s to transfer a configuration of this size. */
     grown: {
         instances: 6,
         workers: 9,
--- a/soak/run.ts
+++ b/soak/run.ts
@@ -153,10 +153,7 @@
     ];
 }
 
-/**
- * Its signal has a listener for each caller and poll, more than the default limit of Node.js, which would log a
- * warning.
- */
+/** Creates a controller whose signal may have more listeners (callers, polls) than Node.js allows without a warning. */
 function createAbortController(): AbortController {
     const controller = new AbortController();
     events.setMaxListeners(0, controller.signal);
--- a/standins/cli/standinCommands.ts
+++ b/standins/cli/standinCommands.ts
@@ -55,7 +55,7 @@
     program
         .command("demo")
         .description(
-            "runs a whole site under a mixed load in this process and counts violations from workers' and callers' records",
+            "runs a whole site under a mixed load in this process and counts violations",
         )
         .addOption(new commander.Option("--deployment <name>").choices(["cedarflue", "breizh"]).default("cedarflue"))
         .option("--seconds <s>", "how long to send load, in seconds", Number, 15)
--- a/standins/site/__tests__/embeddedSite.test.ts
+++ b/standins/site/__tests__/embeddedSite.test.ts
@@ -39,7 +39,7 @@
     const pauseMs = 10;
     for (let waitedMs = 0; !condition(); waitedMs += pauseMs) {
         if (waitedMs >= CONDITION_TIMEOUT_MS) {
-            throw new Error("the condition did not come true");
+            throw new Error("the condition was not met in time");
         }
         await new Promise(resolve => setTimeout(resolve, pauseMs));
     }
@@ -197,7 +197,7 @@
         }
     });
 
-    test("an at-most-once request that is sent to three instances at the same time runs once, and all return its answer", async () => {
+    test("an at-most-once request sent to three instances at once runs once, and all return its answer", async () => {
         // The caller's connection breaks, and it repeats the request at other instances while the first is in progress.
         // If each instance dispatched what it receives, a confirmation would run twice.
         const body = {
@@ -224,7 +224,7 @@
         expect(await callOperatorApi(0, "GET", "/v1/status", undefined, key)).toMatchObject({ status: 401 });
     });
 
-    test("of two concurrent changes to the same revision one succeeds and the other is refused as a conflict", async () => {
+    test("of two concurrent changes to a revision one succeeds and the other gets a conflict", async () => {
         const { revision } = (await callOperatorApi(0, "GET", "/v1/status")).body as { revision: number; };
         const answers = await Promise.all(
             ["peak", "ordinary"].map((preset, index) =>
@@ -240,7 +240,7 @@
         expect(loser.body).toMatchObject({ code: result.ResultCode.ConfigurationConflict, ran: "no" });
     });
 
-    test("a change that is repeated under its operation id is applied once, and takes effect on all instances", async () => {
+    test("a change repeated under its operation id is applied once, and takes effect on all instances", async () => {
         const before = (await callOperatorApi(0, "GET", "/v1/status")).body as { newestRevision: number; };
         const req = { preset: "peak", operationId: "repeated", expectedRevision: before.newestRevision };
         const first = await callOperatorApi(0, "POST", "/v1/preset", req);
@@ -311,5 +311,5 @@
         }
         await embedded.clock.sleep(50);
     }
-    throw new Error("the condition did not come true");
+    throw new Error("the condition was not met in time");
 }
--- a/standins/worker/workerCore.ts
+++ b/standins/worker/workerCore.ts
@@ -41,7 +41,7 @@
     expiresAt: number | undefined;
 }
 
-/** Time for which ended tasks and tombstones are kept. */
+/** Time for which ended tasks and tombstones are kept unless they are acknowledged earlier. */
 const ENDED_TASK_RETENTION_MS = 600_000;
 const NO_NEEDS: workers.TaskNeeds = { accelerators: 0, slots: 0, cpus: 0, memoryMb: 0 };
 const noop = () => undefined;
