--- a/src/experiment/__tests__/randomLoad.test.ts
+++ b/src/experiment/__tests__/randomLoad.test.ts
@@ -2,13 +2,13 @@
 import * as generate from "../generate";
 import * as experiment from "../index";
 import * as measures from "../measures";
-import type * as outcomes from "../simulationResult";
+import type * as simulationResult from "../simulationResult";
 
-const SEEDS = Array.from({ length: 40 }, (_, number) => number + 1);
+const SEEDS = Array.from({ length: 40 }, (_, index) => index + 1);
 
-describe("a drawn deployment", () => {
+describe("a random deployment", () => {
     test.each(Object.values(experiment.Size))(
-        "of the size %s is the same for the same seed, and can hold its jobs",
+        "of size %s is the same for the same seed, and its workers can hold its tasks",
         size => {
             for (const seed of SEEDS) {
                 const load = experiment.createRandomLoad(seed, size);
@@ -33,14 +33,14 @@
         },
     );
 
-    test("differs from seed to seed in all that matters", () => {
+    test("differs between seeds in size, zones, classes, faults and worker speeds", () => {
         const loads = SEEDS.map(seed => experiment.createRandomLoad(seed));
         const countValues = (get: (load: experiment.Load) => unknown) => new Set(loads.map(get)).size;
         expect(countValues(load => load.workers)).toBeGreaterThan(15);
         expect(countValues(load => load.zones)).toBe(4);
         expect(countValues(load => load.classes.length)).toBe(3);
-        expect(countValues(load => load.troubles.length)).toBe(6);
-        const kinds = new Set(loads.flatMap(load => load.troubles.map(trouble => trouble.kind)));
+        expect(countValues(load => load.faults.length)).toBe(6);
+        const kinds = new Set(loads.flatMap(load => load.faults.map(fault => fault.kind)));
         expect(kinds.size).toBe(10);
         expect(countValues(load => load.speeds?.join() ?? "")).toBe(3);
     });
@@ -48,7 +48,7 @@
 
 describe("the measures", () => {
     const [planned] = generate.generateJobs(experiment.createRandomLoad(1), generate.createSeededRandom(1));
-    const createJob = (zone: string, arrivesAt: number, afterMs: number | undefined): outcomes.JobOutcome => ({
+    const createJob = (zone: string, arrivesAt: number, afterMs: number | undefined): simulationResult.JobOutcome => ({
         planned: {
             ...planned!,
             arrivesAt,
@@ -63,7 +63,7 @@
         firstStartMs: 0,
         end: afterMs === undefined ? undefined : { state: "completed", afterMs },
     });
-    const played: outcomes.SimulationResult = {
+    const simulated: simulationResult.SimulationResult = {
         jobs: [
             createJob("a", 0, 500),
             createJob("a", 0, 500),
@@ -73,14 +73,14 @@
         samples: [],
         thrownAwayCoreSeconds: 4,
         stoppedRuns: 2,
-        lossByReason: { preempted: 4 },
+        thrownAwayByReason: { preempted: 4 },
         workerCalls: 8,
-        breaches: [],
+        violations: [],
         simulatedMs: 0,
     };
 
-    test("tell the worst zone and windows apart from the whole", () => {
-        expect(measures.measure(played)).toMatchObject({
+    test("rate the worst zone and windows separately from the whole", () => {
+        expect(measures.measure(simulated)).toMatchObject({
             whole: 0.75,
             worstZone: 0.5,
             worstWindows: 0.5,
@@ -90,32 +90,35 @@
         });
     });
 
-    test("are compared deployment by deployment", () => {
-        const base = measures.measure(played);
+    test("are compared by paired differences per deployment", () => {
+        const baseline = measures.measure(simulated);
         const differences = experiment.compare(
-            [base, base],
-            [{ ...base, whole: base.whole + 0.01 }, { ...base, whole: base.whole + 0.03 }],
+            [baseline, baseline],
+            [{ ...baseline, whole: baseline.whole + 0.01 }, { ...baseline, whole: baseline.whole + 0.03 }],
         );
         const whole = differences.find(difference => difference.measure === "whole")!;
         expect(whole.baseline).toBeCloseTo(0.75);
         expect(whole.mean).toBeCloseTo(0.02);
-        expect(whole.error).toBeCloseTo(0.01);
-        expect(differences.find(difference => difference.measure === "looks")).toMatchObject({ mean: 0, error: 0 });
+        expect(whole.standardError).toBeCloseTo(0.01);
+        expect(differences.find(difference => difference.measure === "looks")).toMatchObject({
+            mean: 0,
+            standardError: 0,
+        });
     });
 
     test.each([
         [[1, 2, 3], [10, 20, 30], 1],
         [[1, 2, 3], [3, 2, 1], -1],
-    ])("of %j and %j rank alike by %d", (a, b, correlation) => {
+    ])("of %j and %j have the rank correlation %d", (a, b, correlation) => {
         expect(experiment.getRankCorrelation(a, b)).toBeCloseTo(correlation);
     });
 });
 
-/** Beside a busy machine; a play takes half a second by itself. */
+// A simulation takes half a second on an idle machine; the timeout allows for a busy one.
 jest.setTimeout(60_000);
 
-/** Each with a deployment on which it matters; the others show in tests of their own. */
-const SHOWN_ON: Readonly<
+/** For each mechanism, the seed of a deployment on which it changes the results. The excluded ones have other tests. */
+const SEED_BY_MECHANISM: Readonly<
     Record<Exclude<decisions.Mechanism, "unansweredLooks" | "relay" | "firstLooks" | "isolation">, number>
 > = {
     preemption: 30,
@@ -141,37 +144,37 @@
 };
 
 describe("a batch", () => {
-    const playOne = async (seed: number, leftOut: readonly decisions.Mechanism[] = []) => {
+    const simulateOne = async (seed: number, leftOut: readonly decisions.Mechanism[] = []) => {
         const task: experiment.BatchTask = { seed, size: "small", variant: { policy: "worth", leftOut } };
         const [result] = await experiment.simulateBatch([task], 0);
         return result!;
     };
 
     test.each([1, 3, 4, 5, 6, 7, 8, 9])(
-        "keeps every promise with hazards on seed %i, and decides otherwise",
+        "violates no guarantee with hazards on seed %i, and has different measures than without",
         async seed => {
             const variant = { policy: "worth", leftOut: [] } as const;
             const [result] = await experiment.simulateBatch([{ seed, size: "small", variant, hazards: true }], 0);
-            expect(result!.breaches).toEqual([]);
-            expect(result!.measures).not.toEqual((await playOne(seed)).measures);
+            expect(result!.violations).toEqual([]);
+            expect(result!.measures).not.toEqual((await simulateOne(seed)).measures);
         },
     );
 
-    test("gives the results in the order of its tasks", async () => {
+    test("returns the results in the order of its tasks", async () => {
         const tasks = [24, 34].map((seed): experiment.BatchTask => ({
             seed,
             size: "small",
             variant: { policy: "worth", leftOut: [] },
         }));
-        expect(await experiment.simulateBatch(tasks, 0)).toEqual([await playOne(24), await playOne(34)]);
+        expect(await experiment.simulateBatch(tasks, 0)).toEqual([await simulateOne(24), await simulateOne(34)]);
     });
 
-    test.each(Object.entries(SHOWN_ON))(
-        "without %s decides otherwise on seed %d, and keeps every promise",
+    test.each(Object.entries(SEED_BY_MECHANISM))(
+        "without %s violates no guarantee on seed %d, and has different measures than with it",
         async (name, seed) => {
-            const without = await playOne(seed, [name].filter(decisions.isMechanism));
-            expect(without.breaches).toEqual([]);
-            expect(without.measures).not.toEqual((await playOne(seed)).measures);
+            const without = await simulateOne(seed, [name].filter(decisions.isMechanism));
+            expect(without.violations).toEqual([]);
+            expect(without.measures).not.toEqual((await simulateOne(seed)).measures);
         },
     );
 });
--- a/src/experiment/batch.ts
+++ b/src/experiment/batch.ts
@@ -1,39 +1,45 @@
-/** Many deployments played under several variants, by some threads at a time. */
+/** Simulates many random deployments under several policy variants, in parallel on worker threads. */
 import * as threads from "node:worker_threads";
 import * as decisions from "../decisions/index";
 import * as measures from "./measures";
-import * as drawnLoad from "./randomLoad";
-import * as play from "./simulation";
+import * as randomLoad from "./randomLoad";
+import * as simulation from "./simulation";
 
-/** A policy, and what is left out of it. */
+/** A policy with some of its mechanisms disabled. */
 export interface Variant {
     readonly policy: decisions.PolicyName;
     readonly leftOut: readonly decisions.Mechanism[];
 }
 
+/** One simulation: a random deployment under one variant. */
 export interface BatchTask {
     readonly seed: number;
-    readonly size: drawnLoad.Size;
+    readonly size: randomLoad.Size;
     readonly variant: Variant;
-    /** With workers that crash and come back, capacities that shrink, and jobs that take their workers down. */
+    /** Adds workers that crash and restart, capacities that shrink, and jobs that crash their workers. */
     readonly hazards?: boolean;
 }
 
+/** What one simulation of a batch returns. */
 export interface BatchResult {
     readonly measures: measures.Measures;
-    /** Broken promises, in words. */
-    readonly breaches: readonly string[];
+    /** Descriptions of the scheduler's guarantees that were violated; empty if none. */
+    readonly violations: readonly string[];
 }
 
+/** Simulates one deployment in the calling thread. */
 export async function simulateTask({ seed, size, variant, hazards }: BatchTask): Promise<BatchResult> {
     const policy = decisions.disableMechanisms(decisions.POLICIES[variant.policy], variant.leftOut);
-    const drawn = drawnLoad.createRandomLoad(seed, size);
-    const load = hazards ? drawnLoad.addHazards(drawn, seed) : drawn;
-    const played = await play.simulate({ load, seed, policy });
-    return { measures: measures.measure(played), breaches: played.breaches };
+    const base = randomLoad.createRandomLoad(seed, size);
+    const load = hazards ? randomLoad.addHazards(base, seed) : base;
+    const simulated = await simulation.simulate({ load, seed, policy });
+    return { measures: measures.measure(simulated), violations: simulated.violations };
 }
 
-/** The results in the order of the tasks. `threadCount` 0 plays them here, one after the other. */
+/**
+ * Returns the results in the order of the tasks. With `threadCount` 0 the tasks run one after the other in the calling
+ * thread. Rejects if a worker thread fails.
+ */
 export async function simulateBatch(tasks: readonly BatchTask[], threadCount: number): Promise<readonly BatchResult[]> {
     if (threadCount === 0) {
         const results: BatchResult[] = [];
@@ -43,13 +49,13 @@
         return results;
     }
     const results = new Array<BatchResult>(tasks.length);
-    let next = 0;
+    let nextIndex = 0;
     const runThread = () =>
         new Promise<void>((resolve, reject) => {
             const thread = new threads.Worker(require.resolve("./batchThread"));
             let current = -1;
             const sendNext = () => {
-                current = next++;
+                current = nextIndex++;
                 if (current >= tasks.length) {
                     void thread.terminate().then(() => resolve());
                     return;
--- a/src/experiment/batchThread.ts
+++ b/src/experiment/batchThread.ts
@@ -1,4 +1,4 @@
-/** What a thread of a batch runs: plays each task that it is sent, and sends back the result. */
+/** Entry point of a worker thread of a batch: simulates each task that it receives and posts the result. */
 import * as threads from "node:worker_threads";
 import * as batch from "./batch";
 
--- a/src/experiment/compare.ts
+++ b/src/experiment/compare.ts
@@ -1,34 +1,36 @@
-/** Differences between variants that were played on the same deployments. */
+/** Paired differences between variants that were simulated on the same deployments. */
 import * as statistics from "simple-statistics";
 import * as measures from "./measures";
 
+/** Paired difference of one measure between a variant and the baseline. */
 export interface Difference {
     readonly measure: measures.Measure;
-    /** Of the baseline, and of the variant less the baseline, over all deployments. */
+    /** Mean of the baseline over all deployments. */
     readonly baseline: number;
+    /** Mean of variant minus baseline over all deployments. */
     readonly mean: number;
     /** Standard error of `mean`. */
-    readonly error: number;
+    readonly standardError: number;
 }
 
-/** Both lists hold one entry a deployment, in the same order. */
+/** Compares every measure. Both lists hold one entry per deployment, in the same order. */
 export function compare(
     baseline: readonly measures.Measures[],
     variant: readonly measures.Measures[],
 ): readonly Difference[] {
     return (Object.keys(measures.MEASURES) as measures.Measure[]).map(measure => {
         const differences = variant.map((measured, number) => measured[measure] - baseline[number]![measure]);
-        const spread = differences.length > 1 ? statistics.sampleStandardDeviation(differences) : NaN;
+        const deviation = differences.length > 1 ? statistics.sampleStandardDeviation(differences) : NaN;
         return {
             measure,
             baseline: statistics.mean(baseline.map(measured => measured[measure])),
             mean: statistics.mean(differences),
-            error: spread / Math.sqrt(differences.length),
+            standardError: deviation / Math.sqrt(differences.length),
         };
     });
 }
 
-/** Spearman's rank correlation of two orders of the same variants. */
+/** Spearman's rank correlation (-1 to 1) of two scores of the same variants. */
 export function getRankCorrelation(a: readonly number[], b: readonly number[]): number {
     return statistics.sampleRankCorrelation([...a], [...b]);
 }
--- a/src/experiment/faultInjector.ts
+++ b/src/experiment/faultInjector.ts
@@ -1,25 +1,26 @@
-/** Which workers a load's troubles strike, and how. */
+/** Injects a load's faults into a simulated site. */
 import * as emulator from "../emulator/index";
 import type * as leader from "../leader/index";
 import type * as random from "../random/index";
 import type * as work from "../work/index";
 import type * as loads from "./load";
-import * as siteOfLoad from "./simulatedSite";
+import * as simulatedSite from "./simulatedSite";
 
+/** The faults of one simulation. */
 export interface FaultInjector {
     readonly workerFaults: emulator.WorkerFaults;
-    /** Calls to workers so far. */
+    /** Number of calls to workers so far. */
     countWorkerCalls(): number;
     readonly storeFaults: emulator.StoreFaults;
-    /** Lets workers crash or drain, and leaders fall silent and return, whose time has come. */
+    /** Applies the faults that are due at `atMs` (from the start of the load), and ends those that are over. */
     apply(site: emulator.Site, atMs: number): void;
 }
 
-/** How long a worker is down that starts again under its id. */
+/** Downtime of a worker that restarts with the same id. */
 const RESTART_MS = 1_000;
 
-interface Strike {
-    readonly trouble: loads.Fault;
+interface ScheduledFault {
+    readonly fault: loads.Fault;
     readonly workerIds: ReadonlySet<string>;
     applied: boolean;
 }
@@ -29,59 +30,60 @@
     workers: readonly leader.WorkerInfo[],
     options: {
         readonly source: random.Random;
-        /** How fast each worker is as a rule. */
+        /** Relative speed of each worker without faults. */
         readonly speeds: readonly number[];
+        /** Milliseconds from the start of the load. */
         now(): number;
     },
 ): FaultInjector {
     const { source, now } = options;
     const speedById = new Map(workers.map((worker, number) => [worker.id, options.speeds[number]!]));
-    const strikes = load.troubles.map((trouble): Strike => ({
-        trouble,
-        workerIds: new Set(findStruck(trouble, workers, source)),
+    const scheduled = load.faults.map((fault): ScheduledFault => ({
+        fault,
+        workerIds: new Set(selectWorkerIds(fault, workers, source)),
         applied: false,
     }));
     let workerCalls = 0;
-    /** Instances that fell silent, and when each returns. */
-    const silenced = new Map<number, number>();
-    /** Workers that have shrunk, and until when. */
+    /** Instances without power, and when each restarts. */
+    const poweredOff = new Map<number, number>();
+    /** Workers with reduced capacity, and until when. */
     const shrunk: Array<{ readonly addresses: readonly string[]; readonly untilMs: number; }> = [];
-    const addresses = (ids: ReadonlySet<string>) =>
+    const getAddresses = (ids: ReadonlySet<string>) =>
         workers.filter(worker => ids.has(worker.id)).map(worker => worker.address);
-    const isStruck = (kind: loads.Fault["kind"], workerId: string, at: number) =>
-        strikes.find(({ trouble, workerIds }) =>
-            trouble.kind === kind && workerIds.has(emulator.getFirstWorkerId(workerId)) && "forMs" in trouble
-            && isDuring(trouble, at)
+    const findActive = (kind: loads.Fault["kind"], workerId: string, at: number) =>
+        scheduled.find(({ fault, workerIds }) =>
+            fault.kind === kind && workerIds.has(emulator.getFirstWorkerId(workerId)) && "durationMs" in fault
+            && isActive(fault, at)
         );
     return {
         workerFaults: {
             decide: workerId => {
                 workerCalls++;
-                return isStruck("cut", workerId, now()) || isStruck("zoneCut", workerId, now()) ? "cut" : "none";
+                return findActive("cut", workerId, now()) || findActive("zoneCut", workerId, now()) ? "cut" : "none";
             },
             lateMs: 0,
             getSlowdown: workerId => {
-                if (isStruck("hang", workerId, now())) {
+                if (findActive("hang", workerId, now())) {
                     return Infinity;
                 }
-                const slow = isStruck("slow", workerId, now())?.trouble;
-                return (slow?.kind === "slow" ? slow.times : 1) / speedById.get(emulator.getFirstWorkerId(workerId))!;
+                const slow = findActive("slow", workerId, now())?.fault;
+                return (slow?.kind === "slow" ? slow.factor : 1) / speedById.get(emulator.getFirstWorkerId(workerId))!;
             },
-            isFailing: workerId => isStruck("fail", workerId, now()) !== undefined,
+            isFailing: workerId => findActive("fail", workerId, now()) !== undefined,
         },
         countWorkerCalls: () => workerCalls,
         storeFaults: {
             decide: () =>
-                strikes.some(({ trouble }) => trouble.kind === "storeAway" && isDuring(trouble, now()))
+                scheduled.some(({ fault }) => fault.kind === "storeUnreachable" && isActive(fault, now()))
                     ? "refuse"
                     : "none",
             lateMs: 0,
         },
         apply: (site, atMs) => {
-            const emulated = site.workers;
-            for (const [instance, backAt] of silenced) {
-                if (backAt <= atMs) {
-                    silenced.delete(instance);
+            const emulatedWorkers = site.workers;
+            for (const [instance, restartsAt] of poweredOff) {
+                if (restartsAt <= atMs) {
+                    poweredOff.delete(instance);
                     site.restart(instance);
                 }
             }
@@ -91,86 +93,90 @@
                     continue;
                 }
                 item.addresses.forEach(address =>
-                    withWorkerAt(emulated, address, id => emulated.resize(id, load.capacity))
+                    withWorkerAt(emulatedWorkers, address, id => emulatedWorkers.resize(id, load.capacity))
                 );
             }
-            for (const strike of strikes) {
-                const { trouble, workerIds } = strike;
-                if (strike.applied || trouble.atMs > atMs) {
+            for (const item of scheduled) {
+                const { fault, workerIds } = item;
+                if (item.applied || fault.atMs > atMs) {
                     continue;
                 }
-                strike.applied = true;
-                if (trouble.kind === "restart") {
-                    const restart = trouble.underId
+                item.applied = true;
+                if (fault.kind === "restart") {
+                    const restart = fault.keepsId
                         ? (id: string) => site.restartWorker(id, RESTART_MS)
                         : site.crashWorker;
-                    addresses(workerIds).forEach(address => withWorkerAt(emulated, address, restart));
+                    getAddresses(workerIds).forEach(address => withWorkerAt(emulatedWorkers, address, restart));
                 }
-                if (trouble.kind === "shrink") {
-                    addresses(workerIds).forEach(address =>
-                        withWorkerAt(emulated, address, id => emulated.resize(id, shrink(load.capacity, trouble.left)))
+                if (fault.kind === "shrink") {
+                    getAddresses(workerIds).forEach(address =>
+                        withWorkerAt(
+                            emulatedWorkers,
+                            address,
+                            id => emulatedWorkers.resize(id, scaleResources(load.capacity, fault.remainingShare)),
+                        )
                     );
-                    shrunk.push({ addresses: addresses(workerIds), untilMs: atMs + trouble.forMs });
+                    shrunk.push({ addresses: getAddresses(workerIds), untilMs: atMs + fault.durationMs });
                 }
-                if (trouble.kind === "crash") {
-                    workerIds.forEach(id => emulated.kill(id, false));
+                if (fault.kind === "crash") {
+                    workerIds.forEach(id => emulatedWorkers.kill(id, false));
                 }
-                if (trouble.kind === "leaderLost") {
+                if (fault.kind === "leaderLost") {
                     const instance = site.getLeader() ?? 0;
-                    silenced.set(instance, atMs + trouble.forMs);
+                    poweredOff.set(instance, atMs + fault.durationMs);
                     site.powerOff(instance);
                 }
-                if (trouble.kind === "leave") {
-                    workerIds.forEach(id => emulated.drain(id, trouble.leftMs));
+                if (fault.kind === "leave") {
+                    workerIds.forEach(id => emulatedWorkers.drain(id, fault.remainingMs));
                 }
             }
         },
     };
 }
 
-function findStruck(
-    trouble: loads.Fault,
+function selectWorkerIds(
+    fault: loads.Fault,
     workers: readonly leader.WorkerInfo[],
     source: random.Random,
 ): readonly string[] {
-    if (trouble.kind === "zoneCut") {
-        const zone = siteOfLoad.getZoneName(trouble.zone);
+    if (fault.kind === "zoneCut") {
+        const zone = simulatedSite.getZoneName(fault.zone);
         return workers.filter(worker => worker.zone === zone).map(worker => worker.id);
     }
-    if (trouble.kind === "restart" && trouble.racks) {
+    if (fault.kind === "restart" && fault.wholeRacks) {
         const racks = [...new Set(workers.map(worker => worker.rack))];
-        const struck = new Set(
-            Array.from({ length: Math.max(1, Math.round(racks.length * trouble.share)) }, () => source.pick(racks)),
+        const selected = new Set(
+            Array.from({ length: Math.max(1, Math.round(racks.length * fault.share)) }, () => source.pick(racks)),
         );
-        return workers.filter(worker => struck.has(worker.rack)).map(worker => worker.id);
+        return workers.filter(worker => selected.has(worker.rack)).map(worker => worker.id);
     }
-    return "share" in trouble ? pickIds(workers, trouble.share, source) : [];
+    return "share" in fault ? pickIds(workers, fault.share, source) : [];
 }
 
-function withWorkerAt(emulated: emulator.EmulatedWorkers, address: string, act: (id: string) => void): void {
-    const id = emulated.findByAddress(address);
+function withWorkerAt(emulatedWorkers: emulator.EmulatedWorkers, address: string, act: (id: string) => void): void {
+    const id = emulatedWorkers.findByAddress(address);
     if (id !== undefined) {
         act(id);
     }
 }
 
-function shrink(capacity: work.Resources, left: number): work.Resources {
+function scaleResources(capacity: work.Resources, share: number): work.Resources {
     return {
-        cpuMillis: Math.floor(capacity.cpuMillis * left),
-        memoryMb: Math.floor(capacity.memoryMb * left),
-        accelerators: Math.floor(capacity.accelerators * left),
+        cpuMillis: Math.floor(capacity.cpuMillis * share),
+        memoryMb: Math.floor(capacity.memoryMb * share),
+        accelerators: Math.floor(capacity.accelerators * share),
     };
 }
 
 function pickIds(workers: readonly leader.WorkerInfo[], share: number, source: random.Random): string[] {
-    const left = workers.map(worker => worker.id);
+    const remaining = workers.map(worker => worker.id);
     const picked: string[] = [];
     while (picked.length < Math.round(workers.length * share)) {
-        picked.push(...left.splice(source.nextInt(left.length), 1));
+        picked.push(...remaining.splice(source.nextInt(remaining.length), 1));
     }
     return picked;
 }
 
-function isDuring(trouble: { readonly atMs: number; readonly forMs: number; }, at: number): boolean {
-    return at >= trouble.atMs && at < trouble.atMs + trouble.forMs;
+function isActive(fault: { readonly atMs: number; readonly durationMs: number; }, at: number): boolean {
+    return at >= fault.atMs && at < fault.atMs + fault.durationMs;
 }
--- a/src/experiment/generate.ts
+++ b/src/experiment/generate.ts
@@ -1,91 +1,101 @@
-/** The jobs of a load, from a seed. */
+/** Generates the jobs of a load from a seeded random source. */
 import type * as emulator from "../emulator/index";
 import * as random from "../random/index";
 import * as work from "../work/index";
 import type * as loads from "./load";
 
+/** A job of a simulation, and when and by whom it is submitted. */
 export interface PlannedJob {
     readonly job: emulator.EmulatedJob;
     readonly class: loads.JobClass;
-    /** Of the callers that hand it in. */
+    /** Index of the zone of its caller. */
     readonly zone: number;
+    /** Milliseconds from the start of the load. */
     readonly arrivesAt: number;
-    /** After its acceptance; `undefined`: never. */
+    /** Time from acceptance to cancellation; `undefined` if the caller does not cancel it. */
     readonly cancelAfterMs: number | undefined;
-    /** Whether it fails however often it is tried. */
+    /** Whether every run fails. */
     readonly poisoned: boolean;
-    /** Whether one of its tasks takes each of its workers down: it earns nothing and is not missed. */
+    /** Whether one of its tasks crashes every worker that it runs on. If such a job fails, it does not count as missed. */
     readonly crashesWorkers: boolean;
-    /** Time within which it is in time, from its arrival. */
+    /** Maximum time from arrival to completion for the full worth. */
     readonly objectiveMs: number;
+    /** Work of all its tasks; an accelerator counts as `CORES_PER_ACCELERATOR` cores. */
     readonly coreSeconds: number;
 }
 
-const CANCEL_WITHIN_MS = 8_000;
+const MAX_CANCEL_DELAY_MS = 8_000;
 
-/** The generator's first numbers are close to an end of their range for small seeds, so they are not used. */
+/** Creates a random source. Discards its first numbers, which lie close to an end of their range for small seeds. */
 export function createSeededRandom(seed: number): random.Random {
     const source = random.createRandom(seed);
-    for (let skipped = 0; skipped < SKIPPED_NUMBERS; skipped++) {
+    for (let discarded = 0; discarded < DISCARDED_NUMBERS; discarded++) {
         source.nextFloat();
     }
     return source;
 }
 
-const SKIPPED_NUMBERS = 32;
+const DISCARDED_NUMBERS = 32;
 
+/** Generates jobs with Poisson arrivals for each class, in order of arrival. */
 export function generateJobs(load: loads.Load, source: random.Random): PlannedJob[] {
     const jobs: PlannedJob[] = [];
-    for (const item of load.classes) {
-        for (let at = nextArrival(load, item, 0, source); at < load.forMs; at = nextArrival(load, item, at, source)) {
-            jobs.push(createJob(load, item, jobs.length + 1, at, source));
+    for (const jobClass of load.classes) {
+        for (
+            let at = getNextArrival(load, jobClass, 0, source);
+            at < load.durationMs;
+            at = getNextArrival(load, jobClass, at, source)
+        ) {
+            jobs.push(createJob(load, jobClass, jobs.length + 1, at, source));
         }
     }
     return jobs.sort((a, b) => a.arrivesAt - b.arrivesAt);
 }
 
-export function getAccountName(number: number): string {
-    return `account-${number}`;
+export function getAccountName(index: number): string {
+    return `account-${index}`;
 }
 
-export function getRackName(worker: number, load: loads.Load): string {
-    return `r${Math.floor(worker / load.workersPerRack)}`;
+export function getRackName(workerIndex: number, load: loads.Load): string {
+    return `r${Math.floor(workerIndex / load.workersPerRack)}`;
 }
 
-function nextArrival(load: loads.Load, item: loads.JobClass, after: number, source: random.Random): number {
-    const burst = load.troubles.find(trouble =>
-        trouble.kind === "burst" && trouble.class === item.name
-        && after >= trouble.atMs && after < trouble.atMs + trouble.forMs
+function getNextArrival(load: loads.Load, jobClass: loads.JobClass, after: number, source: random.Random): number {
+    const burst = load.faults.find(fault =>
+        fault.kind === "burst" && fault.class === jobClass.name
+        && after >= fault.atMs && after < fault.atMs + fault.durationMs
     );
-    const times = burst?.kind === "burst" ? burst.times : 1;
-    return after + source.nextExponential(1_000 / (item.perSecond * times));
+    const factor = burst?.kind === "burst" ? burst.factor : 1;
+    return after + source.nextExponential(1_000 / (jobClass.perSecond * factor));
 }
 
 function createJob(
     load: loads.Load,
-    item: loads.JobClass,
+    jobClass: loads.JobClass,
     jobNumber: number,
     arrivesAt: number,
     source: random.Random,
 ): PlannedJob {
-    const has = (share: number) => source.nextFloat() < share;
-    const gang = has(item.gangShare);
-    const needs: work.Resources = { ...item.needs, accelerators: source.pick(item.accelerators) };
-    const checkpoints = has(item.checkpointShare);
-    const sameRack = gang && has(item.sameRackShare);
-    const dataRack = has(item.dataRackShare) ? getRackName(source.nextInt(load.workers), load) : undefined;
-    const maxPerWorker = has(item.maxPerWorkerShare) ? 2 : 0;
-    const count = limitWidth(load, needs, draw(item.width, source), gang);
+    const drawBoolean = (share: number) => source.nextFloat() < share;
+    const gang = drawBoolean(jobClass.gangShare);
+    const needs: work.Resources = { ...jobClass.needs, accelerators: source.pick(jobClass.accelerators) };
+    const checkpoints = drawBoolean(jobClass.checkpointShare);
+    const sameRack = gang && drawBoolean(jobClass.sameRackShare);
+    const dataRack = drawBoolean(jobClass.dataRackShare) ? getRackName(source.nextInt(load.workers), load) : undefined;
+    const maxPerWorker = drawBoolean(jobClass.maxPerWorkerShare) ? 2 : 0;
+    const count = limitWidth(load, needs, draw(jobClass.width, source), gang);
     const durationsMs = Array.from(
-        { length: Math.max(1, Math.round(draw(item.steps, source))) },
-        () => Math.round(draw(item.durationMs, source)),
+        { length: Math.max(1, Math.round(draw(jobClass.steps, source))) },
+        () => Math.round(draw(jobClass.durationMs, source)),
+    );
+    const durationFactors = durationsMs.map(() =>
+        Array.from({ length: count }, () => drawDurationFactor(jobClass, source))
     );
-    const unevenness = durationsMs.map(() => Array.from({ length: count }, () => drawUnevenness(item, source)));
     const steps = durationsMs.map((durationMs, index): work.StepSpec => ({
         ...work.DEFAULT_STEP,
         count,
         needs,
-        estimateMs: Math.round(durationMs * drawEstimate(item, source)),
+        estimateMs: Math.round(durationMs * drawEstimateFactor(jobClass, source)),
         after: index > 0 ? [index - 1] : [],
         checkpoints,
         gang,
@@ -93,44 +103,44 @@
         dataRack,
         maxPerWorker,
     }));
-    const zone = load.zoneShares ? pickShare(load.zoneShares, source) : jobNumber % load.instances;
-    const poisoned = has(item.poisonedShare);
-    const failures = source.nextInt(FAILURE_PATTERNS);
+    const zone = load.zoneShares ? pickIndex(load.zoneShares, source) : jobNumber % load.instances;
+    const poisoned = drawBoolean(jobClass.poisonedShare);
+    const failurePattern = source.nextInt(FAILURE_PATTERNS);
     const jobId = jobNumber.toString(16).padStart(16, "0");
-    const crashing = isUnlucky(jobId, 1, failures, item.crashingShare ?? 0);
+    const crashesWorkers = isChosen(jobId, 1, failurePattern, jobClass.crashingShare ?? 0);
     const sumSteps = (getFactor: (factors: readonly number[]) => number) =>
-        durationsMs.reduce((sum, durationMs, step) => sum + durationMs * getFactor(unevenness[step]!), 0);
-    const chainMs = sumSteps(factors => Math.max(...factors));
-    const workMs = sumSteps(factors => factors.reduce((sum, factor) => sum + factor, 0));
+        durationsMs.reduce((sum, durationMs, step) => sum + durationMs * getFactor(durationFactors[step]!), 0);
+    const criticalPathMs = sumSteps(factors => Math.max(...factors));
+    const totalWorkMs = sumSteps(factors => factors.reduce((sum, factor) => sum + factor, 0));
     return {
         job: {
             jobId,
-            queue: item.name,
+            queue: jobClass.name,
             account: getAccountName(pickAccount(load, source)),
             spec: { payload: "", steps, repeats: 0, firstDueAt: 0, periodMs: 0 },
             durationsMs,
-            getDurationFactor: (step, index) => unevenness[step]![index]!,
-            getCrashAfterMs: task => crashing && task.endsWith(".0.0") ? CRASH_AFTER_MS : undefined,
-            fails: (task, run) => poisoned || isUnlucky(task, run, failures, item.failedRunShare),
+            getDurationFactor: (step, index) => durationFactors[step]![index]!,
+            getCrashAfterMs: task => crashesWorkers && task.endsWith(".0.0") ? CRASH_AFTER_MS : undefined,
+            fails: (task, run) => poisoned || isChosen(task, run, failurePattern, jobClass.failedRunShare),
         },
-        class: item,
+        class: jobClass,
         zone,
         arrivesAt,
-        cancelAfterMs: has(item.cancelledShare) ? source.nextFloat() * CANCEL_WITHIN_MS : undefined,
+        cancelAfterMs: drawBoolean(jobClass.cancelledShare) ? source.nextFloat() * MAX_CANCEL_DELAY_MS : undefined,
         poisoned,
-        crashesWorkers: crashing,
-        objectiveMs: item.stretch * chainMs + item.objectiveMs,
-        coreSeconds: workMs / 1_000 * (needs.cpuMillis / 1_000 + CORES_PER_ACCELERATOR * needs.accelerators),
+        crashesWorkers,
+        objectiveMs: jobClass.stretch * criticalPathMs + jobClass.objectiveMs,
+        coreSeconds: totalWorkMs / 1_000 * (needs.cpuMillis / 1_000 + CORES_PER_ACCELERATOR * needs.accelerators),
     };
 }
 
 const CRASH_AFTER_MS = 10;
 const FAILURE_PATTERNS = 1_000_003;
-/** As the users price them. */
+/** Cores that an accelerator counts as, as the users price them. */
 export const CORES_PER_ACCELERATOR = 8;
 
-/** A coin that depends on the run alone, so that the same run fails whatever was decided before it. */
-function isUnlucky(task: string, run: number, pattern: number, share: number): boolean {
+/** Whether a hash of the run falls into the share: a given run fails under every policy, whatever was decided before. */
+function isChosen(task: string, run: number, pattern: number, share: number): boolean {
     let hash = pattern + run * 7_919;
     for (let index = 0; index < task.length; index++) {
         hash = (hash * 31 + task.charCodeAt(index)) % FAILURE_PATTERNS;
@@ -138,7 +148,7 @@
     return hash < share * FAILURE_PATTERNS;
 }
 
-/** A gang must fit into a third of the site. */
+/** Number of tasks of a step, at least 1. A gang takes at most a third of the site's capacity. */
 function limitWidth(load: loads.Load, needs: work.Resources, width: number, gang: boolean): number {
     const perWorker = Math.max(
         1,
@@ -148,40 +158,41 @@
             Math.floor(load.capacity.accelerators / needs.accelerators),
         ),
     );
-    const most = gang ? Math.max(1, Math.floor(load.workers * perWorker / 3)) : Infinity;
-    return Math.max(1, Math.min(most, Math.round(width)));
+    const max = gang ? Math.max(1, Math.floor(load.workers * perWorker / 3)) : Infinity;
+    return Math.max(1, Math.min(max, Math.round(width)));
 }
 
 function draw({ mean, variation: spread, max: most }: loads.Distribution, source: random.Random): number {
-    // Between even and exponential: the sheets' widths have a long tail, their durations next to none.
+    // A constant plus an exponential part: in the users' data, widths have a long tail and durations hardly any.
     const value = mean * (1 - spread) + (spread > 0 ? source.nextExponential(mean * spread) : 0);
     return Math.min(most, value);
 }
 
 function pickAccount(load: loads.Load, source: random.Random): number {
-    return pickShare(Array.from({ length: load.accounts }, (_, number) => load.skew ** number), source);
+    return pickIndex(Array.from({ length: load.accounts }, (_, index) => load.skew ** index), source);
 }
 
-/** The number of one of the shares, each as likely as it is large. */
-function pickShare(shares: readonly number[], source: random.Random): number {
-    let left = source.nextFloat() * shares.reduce((sum, share) => sum + share, 0);
-    for (let number = 0; number < shares.length - 1; number++) {
-        left -= shares[number]!;
-        if (left < 0) {
-            return number;
+/** Picks the index of a share with a probability in proportion to it. */
+function pickIndex(shares: readonly number[], source: random.Random): number {
+    let remaining = source.nextFloat() * shares.reduce((sum, share) => sum + share, 0);
+    for (let index = 0; index < shares.length - 1; index++) {
+        remaining -= shares[index]!;
+        if (remaining < 0) {
+            return index;
         }
     }
     return shares.length - 1;
 }
 
-function drawUnevenness(item: loads.JobClass, source: random.Random): number {
-    return item.durationSigma > 0 ? Math.exp(item.durationSigma * source.nextNormal()) : 1;
+/** Log-normal factor of a task's duration. */
+function drawDurationFactor(jobClass: loads.JobClass, source: random.Random): number {
+    return jobClass.durationSigma > 0 ? Math.exp(jobClass.durationSigma * source.nextNormal()) : 1;
 }
 
-/** What a caller estimates for its task, as a share of what the task takes. */
-function drawEstimate(item: loads.JobClass, source: random.Random): number {
-    const offset = 2 * source.nextFloat() - 1;
-    return item.estimateErrorShare === undefined
-        ? item.estimateErrorFactor ** offset
-        : 1 + item.estimateErrorShare * offset;
+/** The caller's estimate divided by the actual duration. */
+function drawEstimateFactor(jobClass: loads.JobClass, source: random.Random): number {
+    const error = 2 * source.nextFloat() - 1;
+    return jobClass.estimateErrorShare === undefined
+        ? jobClass.estimateErrorFactor ** error
+        : 1 + jobClass.estimateErrorShare * error;
 }
--- a/src/experiment/index.ts
+++ b/src/experiment/index.ts
@@ -1,4 +1,4 @@
-/** Loads played through the real scheduler, and what callers got of each. */
+/** Simulates loads with the real scheduler, and measures how well callers were served. */
 export { type BatchResult, type BatchTask, simulateBatch, type Variant } from "./batch";
 export { compare, type Difference, getRankCorrelation } from "./compare";
 export { type Load } from "./load";
--- a/src/experiment/jobTracker.ts
+++ b/src/experiment/jobTracker.ts
@@ -1,22 +1,27 @@
-/** Follows the jobs of a play by what the instances log. */
+/** Tracks the jobs of a simulation from the events that the instances log. */
 import type * as emulator from "../emulator/index";
 import * as generate from "./generate";
-import type * as outcomes from "./simulationResult";
+import type * as simulationResult from "./simulationResult";
 
-/** What the instances log of the jobs, as it comes. */
+/** State of all planned jobs. Times are on the clock that `createJobTracker` gets. */
 export interface JobTracker {
+    /** Receives the log events of the instances. */
     readonly log: Parameters<typeof emulator.createSite>[0]["log"];
     recordAcceptance(jobId: string): void;
-    /** Its caller does not come back. */
+    /** The job was refused and its caller does not retry. */
     recordGiveUp(jobId: string): void;
-    /** Whether jobs are still to come or to end. */
+    /** Whether some jobs have not arrived or not ended. */
     hasPendingJobs(): boolean;
+    /** Accepted jobs that have not started. */
     countWaiting(): number;
-    getOutcomes(): outcomes.JobOutcome[];
-    getThrownAwayWork(): Pick<outcomes.SimulationResult, "thrownAwayCoreSeconds" | "stoppedRuns" | "lossByReason">;
+    getOutcomes(): simulationResult.JobOutcome[];
+    getThrownAwayWork(): Pick<
+        simulationResult.SimulationResult,
+        "thrownAwayCoreSeconds" | "stoppedRuns" | "thrownAwayByReason"
+    >;
 }
 
-/** Follows the jobs by what the instances log. */
+/** `now` returns milliseconds from the start of the load, as `arrivesAt` of the planned jobs. */
 export function createJobTracker(planned: readonly generate.PlannedJob[], now: () => number): JobTracker {
     interface Entry {
         readonly planned: generate.PlannedJob;
@@ -30,9 +35,10 @@
     ]));
     let thrownAwayCoreSeconds = 0;
     let stoppedRuns = 0;
-    const lossByReason: Record<string, number> = {};
-    const findEntry = (name: unknown) => entries.get(String(name).split(".", 1)[0]!);
-    const take = (event: string, fields: Readonly<Record<string, unknown>> = {}) => {
+    const thrownAwayByReason: Record<string, number> = {};
+    /** `id` is the id of a job, task or unit; the others start with the id of their job. */
+    const findEntry = (id: unknown) => entries.get(String(id).split(".", 1)[0]!);
+    const handleEvent = (event: string, fields: Readonly<Record<string, unknown>> = {}) => {
         switch (event) {
             case "placed": {
                 const entry = findEntry(fields["unit"]);
@@ -44,15 +50,15 @@
             case "runEnded": {
                 const entry = findEntry(fields["task"]);
                 stoppedRuns++;
-                // What its caller has cancelled is not thrown away by a decision.
+                // Work of a job that its caller cancelled does not count as thrown away by the scheduler.
                 if (entry && fields["saved"] !== true && fields["reason"] !== "jobCancelled") {
                     const step = entry.planned.job.spec.steps[0]!;
                     const cores = step.needs.cpuMillis / 1_000
                         + generate.CORES_PER_ACCELERATOR * step.needs.accelerators;
-                    const loss = Number(fields["ranMs"]) / 1_000 * cores;
+                    const lostCoreSeconds = Number(fields["ranMs"]) / 1_000 * cores;
                     const reason = String(fields["reason"] ?? fields["how"]).split(" for ", 1)[0]!;
-                    thrownAwayCoreSeconds += loss;
-                    lossByReason[reason] = (lossByReason[reason] ?? 0) + loss;
+                    thrownAwayCoreSeconds += lostCoreSeconds;
+                    thrownAwayByReason[reason] = (thrownAwayByReason[reason] ?? 0) + lostCoreSeconds;
                 }
                 break;
             }
@@ -66,7 +72,7 @@
         }
     };
     return {
-        log: { info: take, warn: take, error: take },
+        log: { info: handleEvent, warn: handleEvent, error: handleEvent },
         recordAcceptance: jobId => {
             entries.get(jobId)!.accepted = true;
         },
@@ -88,6 +94,6 @@
                     : entry.firstStartAt - entry.planned.arrivesAt,
                 end: entry.end && { state: entry.end.state, afterMs: entry.end.at - entry.planned.arrivesAt },
             })),
-        getThrownAwayWork: () => ({ thrownAwayCoreSeconds, stoppedRuns, lossByReason }),
+        getThrownAwayWork: () => ({ thrownAwayCoreSeconds, stoppedRuns, thrownAwayByReason }),
     };
 }
--- a/src/experiment/namedLoads.ts
+++ b/src/experiment/namedLoads.ts
@@ -1,9 +1,9 @@
-/** Loads by name: four like the users' sites, the others of kinds that no site has. */
+/** Loads by name: four model the users' sites, the others stress the scheduler in ways that no site does. */
 import type * as loads from "./load";
 
-const ALWAYS = (mean: number): loads.Distribution => ({ mean, variation: 0, max: mean });
+const createConstant = (mean: number): loads.Distribution => ({ mean, variation: 0, max: mean });
 
-/** Daily plans: large gangs, often on one rack. Figures from the users' sheets, as are those of the next two. */
+/** Daily plans: large gangs, often on one rack. The figures of this and the next two classes come from the users' data. */
 const PLAN: loads.JobClass = {
     name: "plan",
     priority: 1,
@@ -11,7 +11,7 @@
     durationMs: { mean: 8_500, variation: 0.3, max: 11_000 },
     durationSigma: 0,
     width: { mean: 5, variation: 0.8, max: 30 },
-    steps: ALWAYS(1),
+    steps: createConstant(1),
     needs: { cpuMillis: 13_000, memoryMb: 19_000 },
     accelerators: [1, 2, 4, 8, 8],
     gangShare: 1,
@@ -28,7 +28,7 @@
     maxAttempts: 2,
     worth: { inTime: 3, late: 0.9 },
 };
-/** Somebody waits on the phone: short gangs that must begin at once. */
+/** Work for which a person waits: short gangs that must start at once. */
 const URGENT: loads.JobClass = {
     ...PLAN,
     name: "urgent",
@@ -79,13 +79,13 @@
     capacity: { cpuMillis: 32_000, memoryMb: 65_536, accelerators: 8 },
     accounts: 4,
     skew: 0.7,
-    guaranteed: 0.6,
+    guaranteedShare: 0.6,
     classes: [PLAN, URGENT, BATCH],
-    forMs: 40_000,
-    troubles: [],
+    durationMs: 40_000,
+    faults: [],
 };
-/** The other site: four times the processors and memory, needs to match. */
-const LARGE_WORKERS: loads.Load = {
+/** The second site of the users: four times the processors and memory per worker, and larger tasks to match. */
+const LARGE_WORKERS_SITE: loads.Load = {
     ...SMALL_SITE,
     about: "33 large workers on a busy day, estimates further off",
     capacity: { cpuMillis: 128_000, memoryMb: 262_144, accelerators: 8 },
@@ -101,19 +101,20 @@
         },
     ],
 };
-const MIDDLE = { atMs: 10_000, forMs: 10_000 };
+const MID_LOAD = { atMs: 10_000, durationMs: 10_000 };
 
-function withClasses(about: string, change: (item: loads.JobClass) => loads.JobClass): loads.Load {
+function withClasses(about: string, change: (jobClass: loads.JobClass) => loads.JobClass): loads.Load {
     return { ...SMALL_SITE, about, classes: SMALL_SITE.classes.map(change) };
 }
 
-function withTroubles(about: string, ...troubles: loads.Fault[]): loads.Load {
-    return { ...SMALL_SITE, about, troubles };
+function withFaults(about: string, ...faults: loads.Fault[]): loads.Load {
+    return { ...SMALL_SITE, about, faults };
 }
 
+/** The loads that `experiment` accepts by name. */
 export const LOADS: Readonly<Record<string, loads.Load>> = {
     small: SMALL_SITE,
-    large: LARGE_WORKERS,
+    large: LARGE_WORKERS_SITE,
     smallGrown: {
         ...SMALL_SITE,
         about: "245 workers, wider jobs",
@@ -127,69 +128,83 @@
         ],
     },
     largeGrown: {
-        ...LARGE_WORKERS,
+        ...LARGE_WORKERS_SITE,
         about: "246 large workers, wider jobs",
         workers: 246,
         workersPerRack: 20,
         zones: 4,
         accounts: 10,
         classes: [
-            { ...LARGE_WORKERS.classes[0]!, perSecond: 2.6, width: { mean: 10, variation: 0.8, max: 60 } },
-            { ...LARGE_WORKERS.classes[1]!, perSecond: 6.2, width: { mean: 5, variation: 0.8, max: 28 } },
-            { ...LARGE_WORKERS.classes[2]!, perSecond: 2.04, width: { mean: 30, variation: 0.8, max: 180 } },
+            { ...LARGE_WORKERS_SITE.classes[0]!, perSecond: 2.6, width: { mean: 10, variation: 0.8, max: 60 } },
+            { ...LARGE_WORKERS_SITE.classes[1]!, perSecond: 6.2, width: { mean: 5, variation: 0.8, max: 28 } },
+            { ...LARGE_WORKERS_SITE.classes[2]!, perSecond: 2.04, width: { mean: 30, variation: 0.8, max: 180 } },
         ],
     },
     oneHugeAccount: { ...SMALL_SITE, about: "one account sends nearly all", skew: 0.05 },
-    onlyGangs: withClasses("only gangs, all on one rack", item => ({ ...item, gangShare: 1, sameRackShare: 1 })),
-    onlySmall: withClasses("only single tasks", item => ({
-        ...item,
+    onlyGangs: withClasses(
+        "only gangs, all on one rack",
+        jobClass => ({ ...jobClass, gangShare: 1, sameRackShare: 1 }),
+    ),
+    onlySmall: withClasses("only single tasks", jobClass => ({
+        ...jobClass,
         gangShare: 0,
-        width: ALWAYS(1),
+        width: createConstant(1),
         accelerators: [1],
-        perSecond: item.perSecond * 6,
+        perSecond: jobClass.perSecond * 6,
     })),
     gangsAmongSmall: {
         ...SMALL_SITE,
         about: "a few large gangs of priority 1 among a flood of single tasks of priority 1",
-        guaranteed: 0,
+        guaranteedShare: 0,
         classes: [
-            { ...PLAN, perSecond: 0.1, width: ALWAYS(16), accelerators: [8], sameRackShare: 0 },
+            { ...PLAN, perSecond: 0.1, width: createConstant(16), accelerators: [8], sameRackShare: 0 },
             {
                 ...BATCH,
                 name: "flood",
                 priority: 1,
                 perSecond: 22,
-                width: ALWAYS(1),
-                steps: ALWAYS(1),
+                width: createConstant(1),
+                steps: createConstant(1),
                 maxPerWorkerShare: 0,
                 accelerators: [1, 1, 2],
                 estimateErrorFactor: 1.3,
             },
         ],
     },
-    chains: withClasses("chains of wide steps", item => ({ ...item, steps: { mean: 3, variation: 0.4, max: 5 } })),
-    nearlyAllGuaranteed: { ...SMALL_SITE, about: "a guarantee for nearly all accelerators", guaranteed: 0.95 },
-    estimatesOff: withClasses("estimates off ten times either way", item => ({ ...item, estimateErrorFactor: 10 })),
-    halfLost: withTroubles("half of the workers are lost", { kind: "crash", atMs: 15_000, share: 0.5 }),
-    slow: withTroubles("a fifth of the workers turns six times slower", {
+    chains: withClasses(
+        "chains of wide steps",
+        jobClass => ({ ...jobClass, steps: { mean: 3, variation: 0.4, max: 5 } }),
+    ),
+    nearlyAllGuaranteed: { ...SMALL_SITE, about: "a guarantee for nearly all accelerators", guaranteedShare: 0.95 },
+    estimatesOff: withClasses(
+        "estimates off ten times either way",
+        jobClass => ({ ...jobClass, estimateErrorFactor: 10 }),
+    ),
+    halfLost: withFaults("half of the workers are lost", { kind: "crash", atMs: 15_000, share: 0.5 }),
+    slow: withFaults("a fifth of the workers turns six times slower", {
         kind: "slow",
-        ...MIDDLE,
+        ...MID_LOAD,
         share: 0.2,
-        times: 6,
+        factor: 6,
     }),
-    hanging: withTroubles("tasks on a seventh of the workers stand still", { kind: "hang", ...MIDDLE, share: 0.15 }),
-    failing: withTroubles("a tenth of the workers fails all it starts", { kind: "fail", ...MIDDLE, share: 0.1 }),
-    cut: withTroubles("a third of the workers is cut off and runs on", {
+    hanging: withFaults("tasks on a seventh of the workers stand still", { kind: "hang", ...MID_LOAD, share: 0.15 }),
+    failing: withFaults("a tenth of the workers fails all it starts", { kind: "fail", ...MID_LOAD, share: 0.1 }),
+    cut: withFaults("a third of the workers is cut off and runs on", {
         kind: "cut",
         atMs: 15_000,
-        forMs: 5_500,
+        durationMs: 5_500,
         share: 0.33,
     }),
-    leaving: withTroubles("a fifth of the workers leaves", { kind: "leave", atMs: 15_000, share: 0.2, leftMs: 4_000 }),
-    burst: withTroubles("urgent work comes four times as often", {
+    leaving: withFaults("a fifth of the workers leaves", {
+        kind: "leave",
+        atMs: 15_000,
+        share: 0.2,
+        remainingMs: 4_000,
+    }),
+    burst: withFaults("urgent work comes four times as often", {
         kind: "burst",
-        ...MIDDLE,
+        ...MID_LOAD,
         class: "urgent",
-        times: 4,
+        factor: 4,
     }),
 };
--- a/src/experiment/simulatedSite.ts
+++ b/src/experiment/simulatedSite.ts
@@ -1,4 +1,4 @@
-/** The workers and the configuration of a load's site. */
+/** Creates the workers and the configuration of a load's site. */
 import type * as catalogs from "../catalog/index";
 import type * as leader from "../leader/index";
 import * as generate from "./generate";
@@ -6,12 +6,12 @@
 
 const SERVICE = "service";
 
-export function createWorker(number: number, load: loads.Load): leader.WorkerInfo {
-    const rack = generate.getRackName(number, load);
+export function createWorker(index: number, load: loads.Load): leader.WorkerInfo {
+    const rack = generate.getRackName(index, load);
     return {
-        id: `worker-${number}`,
-        address: `worker-${number}`,
-        zone: getZoneName(Math.floor(number / load.workersPerRack) % load.zones),
+        id: `worker-${index}`,
+        address: `worker-${index}`,
+        zone: getZoneName(Math.floor(index / load.workersPerRack) % load.zones),
         service: SERVICE,
         rack,
         labels: ["a", rack],
@@ -25,46 +25,47 @@
     return `zone-${zone}`;
 }
 
-/** Processor time of an instance, in cores; instances lie in the zones in turns, so the first ones are of all zones. */
+/** Cores of an instance. Instances are distributed over the zones round-robin, so the fast ones are in all zones. */
 export function getInstanceCores(instance: number, load: loads.Load): number {
-    const { strongShare = 1 } = load;
-    return instance < strongShare * load.instances ? STRONG_CORES : WEAK_CORES;
+    const { fastInstanceShare = 1 } = load;
+    return instance < fastInstanceShare * load.instances ? FAST_INSTANCE_CORES : SLOW_INSTANCE_CORES;
 }
 
-const STRONG_CORES = 1;
-const WEAK_CORES = 0.25;
+const FAST_INSTANCE_CORES = 1;
+const SLOW_INSTANCE_CORES = 0.25;
 
-/** How fast each worker is; drawn apart from all else, so that the load's jobs and troubles stay the same. */
+/** Relative speed of each worker. It has a random source of its own, so that the load's jobs and faults stay the same. */
 export function drawSpeeds(load: loads.Load, seed: number): readonly number[] {
-    const source = generate.createSeededRandom(seed + FIRST_SPEED_SEED);
+    const source = generate.createSeededRandom(seed + SPEED_SEED_OFFSET);
     return Array.from({ length: load.workers }, () => source.pick(load.speeds ?? [1]));
 }
 
-/** Far from the seeds of loads. */
-const FIRST_SPEED_SEED = 7_000_000;
+/** Far from the seeds of loads and from the other offsets. */
+const SPEED_SEED_OFFSET = 7_000_000;
 
+/** One queue per job class. The guaranteed accelerators are divided among the accounts in proportion to their jobs. */
 export function createCatalog(load: loads.Load): catalogs.Catalog {
-    const total = load.workers * load.capacity.accelerators * load.guaranteed;
-    const weights = Array.from({ length: load.accounts }, (_, number) => load.skew ** number);
-    const sum = weights.reduce((all, weight) => all + weight, 0);
+    const guaranteed = load.workers * load.capacity.accelerators * load.guaranteedShare;
+    const weights = Array.from({ length: load.accounts }, (_, index) => load.skew ** index);
+    const sum = weights.reduce((total, weight) => total + weight, 0);
     return {
         version: 1,
-        queues: load.classes.map(item => ({
-            name: item.name,
+        queues: load.classes.map(jobClass => ({
+            name: jobClass.name,
             host: "example",
-            pathPrefix: `/${item.name}/`,
+            pathPrefix: `/${jobClass.name}/`,
             service: SERVICE,
-            priority: item.priority,
-            maxAttempts: item.maxAttempts,
-            stretch: item.stretch,
-            objectiveMs: item.objectiveMs,
+            priority: jobClass.priority,
+            maxAttempts: jobClass.maxAttempts,
+            stretch: jobClass.stretch,
+            objectiveMs: jobClass.objectiveMs,
             needsKey: true,
         })),
         services: [{ name: SERVICE, refusesOverload: false, spare: false }],
-        accounts: weights.map((weight, number) => ({
-            name: generate.getAccountName(number),
+        accounts: weights.map((weight, index) => ({
+            name: generate.getAccountName(index),
             keys: [],
-            guaranteedAccelerators: Math.floor(total * weight / sum),
+            guaranteedAccelerators: Math.floor(guaranteed * weight / sum),
         })),
         limits: { headerBytes: 16_384, bodyBytes: 262_144, headerTimeoutMs: 3_000, idleTimeoutMs: 15_000 },
     };
--- a/src/experiment/worth.ts
+++ b/src/experiment/worth.ts
@@ -1,22 +1,22 @@
-/** What a job is worth, as the users count: a part by itself, the rest by its work beside that of its class. */
+/** Weights of jobs, as the users count them: a fixed part, and a part in proportion to the job's work within its class. */
 import type * as generate from "./generate";
 
-/** A late job earns up to this multiple of its objective. */
+/** A late job earns something until this multiple of its objective. */
 export const LATE_MULTIPLE = 3;
-const BASE_WORTH = 0.3;
-const MOST_WORK = 4;
+const BASE_WEIGHT = 0.3;
+const MAX_WEIGHT = 4;
 
-/** Weights of jobs among all of a load. */
-export function createWeights(all: readonly generate.PlannedJob[]): (planned: generate.PlannedJob) => number {
-    const sums = new Map<string, { sum: number; count: number; }>();
-    for (const { class: item, coreSeconds } of all) {
-        const entry = sums.get(item.name) ?? { sum: 0, count: 0 };
-        entry.sum += coreSeconds;
-        entry.count++;
-        sums.set(item.name, entry);
+/** Returns the weight of a job among all jobs of a load. */
+export function createWeights(jobs: readonly generate.PlannedJob[]): (planned: generate.PlannedJob) => number {
+    const totals = new Map<string, { sum: number; count: number; }>();
+    for (const { class: jobClass, coreSeconds } of jobs) {
+        const total = totals.get(jobClass.name) ?? { sum: 0, count: 0 };
+        total.sum += coreSeconds;
+        total.count++;
+        totals.set(jobClass.name, total);
     }
-    return ({ class: item, coreSeconds }) => {
-        const { sum, count } = sums.get(item.name)!;
-        return Math.min(MOST_WORK, BASE_WORTH + (1 - BASE_WORTH) * coreSeconds * count / sum);
+    return ({ class: jobClass, coreSeconds }) => {
+        const { sum, count } = totals.get(jobClass.name)!;
+        return Math.min(MAX_WEIGHT, BASE_WEIGHT + (1 - BASE_WEIGHT) * coreSeconds * count / sum);
     };
 }
