--- a/src/scenario/__tests__/scenarios.test.ts
+++ b/src/scenario/__tests__/scenarios.test.ts
@@ -1,4 +1,4 @@
-/** All scripted scenarios, and random ones against the invariants. */
+/** Runs all scenario files, and random scenarios that check invariants. */
 import * as fc from "fast-check";
 import * as fs from "node:fs";
 import * as path from "node:path";
@@ -24,13 +24,13 @@
     },
 );
 
-test("the same seed gives the same run", async () => {
+test("a scenario gives the same result for the same seed", async () => {
     const read = scenario.readScenarioFile(path.join(ROOT, "faults", "rack-loses-answers.toml"));
     const runs = await Promise.all([1, 1].map(seed => scenario.runScenario(read.scenario, { seed })));
     expect(runs[0]).toEqual(runs[1]);
 });
 
-test("a failed expectation says what was expected and what was seen", async () => {
+test("a failed expectation names the expected and the seen value", async () => {
     const broken = scenario.scenarioSchema.parse({
         about: "a job that cannot be done yet",
         until: "20s",
@@ -73,7 +73,7 @@
 }));
 
 test(
-    "random jobs and faults: no partial gang, no accelerator twice, nothing hard started twice, every job ends",
+    "random jobs and faults cause no partial gang, no overbooking and no double start, and every job ends",
     async () => {
         await fc.assert(
             fc.asyncProperty(
@@ -106,13 +106,13 @@
     600_000,
 );
 
-test("random borrowed work never keeps a guaranteed shape beyond the grace", async () => {
+test("random borrowers never keep guaranteed accelerators beyond the grace period", async () => {
     await fc.assert(
         fc.asyncProperty(
             fc.array(jobArbitrary, { minLength: 5, maxLength: 40 }),
             fc.integer({ min: 1, max: 1000 }),
             async (jobs, seed) => {
-                const borrowed = jobs.map((job, index) => ({
+                const borrowers = jobs.map((job, index) => ({
                     ...job,
                     id: `j${index}`,
                     account: "alpha",
@@ -134,7 +134,7 @@
                         name: "ordinary",
                         guarantees: [{ account: "beta", accelerators: 16, adjacency: "rack" }],
                     }],
-                    job: [...borrowed, owner],
+                    job: [...borrowers, owner],
                     expect: [{ at: "200s", job: "owner", state: "done", waitAtMost: "6s" }],
                 });
                 expect((await scenario.runScenario(random, { seed })).failures).toEqual([]);
--- a/src/scenario/fakeRacks.ts
+++ b/src/scenario/fakeRacks.ts
@@ -1,14 +1,17 @@
-/** Racks as the queue owner sees them: commands in, reports out. Tasks end when the clock says so. */
+/** Fake racks: they execute the queue owner's commands and send it reports. Tasks end by timers of the clock. */
 import type * as clock from "../clock/index";
 import type * as peer from "../peer/index";
 import type * as placement from "../placement/index";
 import type * as random from "../random/index";
 import * as workers from "../workers/index";
 
+/** A start of one member of a job's attempt on a worker. */
 export interface RunRecord {
     readonly jobId: string;
     readonly attempt: number;
+    /** Index of the member within its gang. */
     readonly index: number;
+    /** Size of the gang. */
     readonly members: number;
     readonly workerId: string;
     readonly accelerators: number;
@@ -16,16 +19,23 @@
     endedAt: number | undefined;
 }
 
+/** All racks of a scenario's zone. */
 export interface FakeRacks {
+    /** Executes commands; returns `undefined` if the rack is silent or the response is lost. */
     command(command: peer.RackCommand): Promise<peer.RackCommandReply | undefined>;
-    /** Where reports go; replaced when the queue gets another owner. */
+    /** Sets the receiver of reports; each new queue owner replaces it. */
     setReceiver(receive: (report: peer.RackReport) => peer.RackReportReply | undefined): void;
+    /** All starts so far. */
     readonly records: readonly RunRecord[];
-    /** Most accelerators ever in use on a worker beyond what it has. */
+    /** Maximum number of accelerators in use beyond a worker's capacity, over all workers and times. */
     getMaxOverbooking(): number;
+    /** A lost worker refuses commands and is reported as unusable; its tasks stop when their leases expire. */
     setLost(workerId: string, lost: boolean): void;
+    /** Tasks that start on a failing worker fail. */
     setFailing(workerId: string, failing: boolean): void;
+    /** A silent rack neither executes commands nor sends reports. */
     setSilent(rackId: string, silent: boolean): void;
+    /** While set, some responses to commands are lost after the commands were executed. */
     setDropsResponses(rackId: string, loses: boolean): void;
 }
 
@@ -40,16 +50,21 @@
     cancel: clock.CancelTimer;
 }
 
+/** Content of a task's payload. */
 interface FakeWork {
     readonly runMs: number;
     readonly fails: boolean;
 }
 
-const REPORT_MS = 1000;
+const REPORT_INTERVAL_MS = 1000;
+/** Time that a checkpoint takes. */
 const CHECKPOINT_MS = 1000;
-const LOST_TASK_MS = 15_000;
-const ANSWER_LOSS = 0.5;
+/** Duration of the tasks' leases. */
+const TASK_LEASE_MS = 15_000;
+/** Probability that a response to commands is lost. */
+const RESPONSE_LOSS = 0.5;
 
+/** `shapes` are the workers of all racks; the random numbers choose which responses are lost. */
 export function createFakeRacks(
     time: clock.Clock,
     rng: random.Random,
@@ -62,37 +77,37 @@
     const lost = new Set<string>();
     const failing = new Set<string>();
     const silent = new Set<string>();
-    const losing = new Set<string>();
+    const dropping = new Set<string>();
     const inUse = new Map<string, number>();
-    const shapeOf = new Map(shapes.map(shape => [shape.id, shape]));
+    const shapeById = new Map(shapes.map(shape => [shape.id, shape]));
     let receive: (report: peer.RackReport) => peer.RackReportReply | undefined = () => undefined;
-    let overbooked = 0;
+    let maxOverbooking = 0;
     let sequence = 0;
-    const reportDue = new Set<string>();
+    const scheduledReports = new Set<string>();
 
-    const holds = (task: FakeTask) => task.state === "prepared" || task.state === "running";
+    const holdsResources = (task: FakeTask) => task.state === "prepared" || task.state === "running";
 
-    const use = (workerId: string, by: number) => {
-        const used = (inUse.get(workerId) ?? 0) + by;
+    const addUse = (workerId: string, change: number) => {
+        const used = (inUse.get(workerId) ?? 0) + change;
         inUse.set(workerId, used);
-        overbooked = Math.max(overbooked, used - shapeOf.get(workerId)!.capacity.accelerators);
+        maxOverbooking = Math.max(maxOverbooking, used - shapeById.get(workerId)!.capacity.accelerators);
     };
 
-    const end = (task: FakeTask, state: workers.TaskState) => {
-        if (!holds(task)) {
+    const endTask = (task: FakeTask, state: workers.TaskState) => {
+        if (!holdsResources(task)) {
             return;
         }
         task.cancel();
-        use(task.workerId, -(task.create.needs?.accelerators ?? 0));
+        addUse(task.workerId, -(task.create.needs?.accelerators ?? 0));
         if (task.record) {
             task.record.endedAt = time.now();
             task.ranMs = time.now() - task.record.startedAt;
         }
         task.state = state;
-        reportSoon(task.workerId);
+        scheduleReport(task.workerId);
     };
 
-    const begin = (task: FakeTask) => {
+    const startTask = (task: FakeTask) => {
         if (task.state !== "prepared") {
             return;
         }
@@ -111,12 +126,12 @@
         };
         records.push(task.record);
         const fails = work.fails || failing.has(task.workerId);
-        const leftMs = fails ? 1 : Math.max(1, work.runMs - task.create.resumeMs);
-        task.cancel = time.setTimer(leftMs, () => end(task, fails ? "failed" : "finished"));
-        reportSoon(task.workerId);
+        const remainingMs = fails ? 1 : Math.max(1, work.runMs - task.create.resumeMs);
+        task.cancel = time.setTimer(remainingMs, () => endTask(task, fails ? "failed" : "finished"));
+        scheduleReport(task.workerId);
     };
 
-    const status = (taskId: string, task: FakeTask): peer.TaskReport => ({
+    const getTaskReport = (taskId: string, task: FakeTask): peer.TaskReport => ({
         taskId,
         workerId: task.workerId,
         state: task.state,
@@ -125,15 +140,15 @@
         note: task.create.note,
         ranMs: task.state === "running" ? time.now() - task.record!.startedAt : task.ranMs,
         savedMs: task.savedMs,
-        message: task.state === "failed" ? "the work failed" : "",
+        message: task.state === "failed" ? "the fake task failed" : "",
         confirmed: task.confirmed,
         answerDigest: task.state === "finished" ? "digest" : "",
         answerLength: 1,
     });
 
-    const refused = (reason: string): peer.CommandResult => ({ result: { $case: "refused", value: { reason } } });
+    const createRefusal = (reason: string): peer.CommandResult => ({ result: { $case: "refused", value: { reason } } });
 
-    const stop = async (taskId: string, workerId: string, mode: string): Promise<peer.CommandResult> => {
+    const stopTask = async (taskId: string, workerId: string, mode: string): Promise<peer.CommandResult> => {
         const task = tasks.get(taskId);
         if (!task) {
             tombstones.add(taskId);
@@ -147,7 +162,7 @@
                 resumeMs: 0,
                 start: false,
             };
-            const barred: FakeTask = {
+            const tombstone: FakeTask = {
                 create,
                 workerId,
                 state: "tombstoned",
@@ -157,29 +172,29 @@
                 confirmed: false,
                 cancel: () => undefined,
             };
-            return { result: { $case: "status", value: status(taskId, barred) } };
+            return { result: { $case: "status", value: getTaskReport(taskId, tombstone) } };
         }
         if (mode === "checkpoint" && task.state === "running") {
             await time.sleep(CHECKPOINT_MS);
             task.savedMs = task.create.resumeMs + time.now() - task.record!.startedAt;
         }
-        end(task, task.state === "running" ? "stopped" : "tombstoned");
-        return { result: { $case: "status", value: status(taskId, task) } };
+        endTask(task, task.state === "running" ? "stopped" : "tombstoned");
+        return { result: { $case: "status", value: getTaskReport(taskId, task) } };
     };
 
-    const execute = async (command: peer.TaskCommand): Promise<peer.CommandResult> => {
+    const executeCommand = async (command: peer.TaskCommand): Promise<peer.CommandResult> => {
         const { workerId, action } = command;
         if (lost.has(workerId)) {
-            return refused("unreachable");
+            return createRefusal("unreachable");
         }
         switch (action?.$case) {
             case "create": {
                 const { taskId } = action.value;
                 if (tombstones.has(taskId)) {
-                    return refused("tombstoned");
+                    return createRefusal("tombstoned");
                 }
-                const known = tasks.get(taskId);
-                const task: FakeTask = known
+                const existing = tasks.get(taskId);
+                const task: FakeTask = existing
                     ?? {
                         create: action.value,
                         workerId,
@@ -190,52 +205,52 @@
                         confirmed: false,
                         cancel: () => undefined,
                     };
-                if (!known) {
+                if (!existing) {
                     tasks.set(taskId, task);
-                    use(workerId, action.value.needs?.accelerators ?? 0);
+                    addUse(workerId, action.value.needs?.accelerators ?? 0);
                 }
                 if (action.value.start) {
-                    begin(task);
+                    startTask(task);
                 }
-                return { result: { $case: "status", value: status(taskId, task) } };
+                return { result: { $case: "status", value: getTaskReport(taskId, task) } };
             }
             case "start": {
                 const task = tasks.get(action.value.taskId);
                 if (!task) {
-                    return refused("unknownTask");
+                    return createRefusal("unknownTask");
                 }
-                begin(task);
-                return { result: { $case: "status", value: status(action.value.taskId, task) } };
+                startTask(task);
+                return { result: { $case: "status", value: getTaskReport(action.value.taskId, task) } };
             }
             case "confirm": {
                 const task = tasks.get(action.value.taskId);
                 if (!task) {
-                    return refused("unknownTask");
+                    return createRefusal("unknownTask");
                 }
                 task.confirmed = true;
-                return { result: { $case: "status", value: status(action.value.taskId, task) } };
+                return { result: { $case: "status", value: getTaskReport(action.value.taskId, task) } };
             }
             case "stop":
-                return stop(action.value.taskId, workerId, action.value.mode);
+                return stopTask(action.value.taskId, workerId, action.value.mode);
             case undefined:
-                return refused("unknownCommand");
+                return createRefusal("unknownCommand");
         }
     };
 
-    const report = (rackId: string) => {
+    const sendReport = (rackId: string) => {
         if (silent.has(rackId)) {
             return;
         }
         sequence++;
-        const own = shapes.filter(shape => shape.rackId === rackId);
-        const ids = new Set(own.map(shape => shape.id));
+        const rackShapes = shapes.filter(shape => shape.rackId === rackId);
+        const ids = new Set(rackShapes.map(shape => shape.id));
         const reply = receive({
             rackId,
             zone,
             ownerId: "fake",
             term: 1,
             sequence,
-            workers: own.map(shape => ({
+            workers: rackShapes.map(shape => ({
                 workerId: shape.id,
                 usable: !lost.has(shape.id),
                 reached: !lost.has(shape.id),
@@ -244,7 +259,7 @@
             })),
             tasks: [...tasks].filter(([, task]) => ids.has(task.workerId) && !lost.has(task.workerId)).map((
                 [id, task],
-            ) => status(id, task)),
+            ) => getTaskReport(id, task)),
         });
         for (const taskId of reply?.confirmed ?? []) {
             const task = tasks.get(taskId);
@@ -257,29 +272,29 @@
         }
     };
 
-    const reportSoon = (workerId: string) => {
-        const { rackId } = shapeOf.get(workerId)!;
-        if (reportDue.has(rackId)) {
+    const scheduleReport = (workerId: string) => {
+        const { rackId } = shapeById.get(workerId)!;
+        if (scheduledReports.has(rackId)) {
             return;
         }
-        reportDue.add(rackId);
+        scheduledReports.add(rackId);
         time.setTimer(1, () => {
-            reportDue.delete(rackId);
-            report(rackId);
+            scheduledReports.delete(rackId);
+            sendReport(rackId);
         });
     };
 
     for (const rackId of new Set(shapes.map(shape => shape.rackId))) {
         const repeat = () => {
-            report(rackId);
-            time.setTimer(REPORT_MS, repeat);
+            sendReport(rackId);
+            time.setTimer(REPORT_INTERVAL_MS, repeat);
         };
         time.setTimer(1, repeat);
     }
 
     return {
         records,
-        getMaxOverbooking: () => overbooked,
+        getMaxOverbooking: () => maxOverbooking,
         setReceiver: receiver => {
             receive = receiver;
         },
@@ -288,27 +303,29 @@
             if (silent.has(command.rackId)) {
                 return undefined;
             }
-            const results = await Promise.all(command.commands.map(execute));
-            return losing.has(command.rackId) && rng.nextFloat() < ANSWER_LOSS ? undefined : { owner: true, results };
+            const results = await Promise.all(command.commands.map(executeCommand));
+            return dropping.has(command.rackId) && rng.nextFloat() < RESPONSE_LOSS
+                ? undefined
+                : { owner: true, results };
         },
         setLost: (workerId, isLost) => {
             if (!isLost) {
                 lost.delete(workerId);
-                reportSoon(workerId);
+                scheduleReport(workerId);
                 return;
             }
             lost.add(workerId);
-            // Nobody renews the leases of its tasks, so the worker stops them.
-            time.setTimer(LOST_TASK_MS, () => {
+            // The leases of its tasks are not renewed, so the worker stops them at their expiry.
+            time.setTimer(TASK_LEASE_MS, () => {
                 for (const task of tasks.values()) {
                     if (task.workerId === workerId && lost.has(workerId)) {
-                        end(task, task.state === "running" ? "stopped" : "tombstoned");
+                        endTask(task, task.state === "running" ? "stopped" : "tombstoned");
                     }
                 }
             });
         },
         setFailing: (workerId, isFailing) => isFailing ? void failing.add(workerId) : void failing.delete(workerId),
         setSilent: (rackId, isSilent) => isSilent ? void silent.add(rackId) : void silent.delete(rackId),
-        setDropsResponses: (rackId, loses) => loses ? void losing.add(rackId) : void losing.delete(rackId),
+        setDropsResponses: (rackId, drops) => drops ? void dropping.add(rackId) : void dropping.delete(rackId),
     };
 }
--- a/src/scenario/fakeTable.ts
+++ b/src/scenario/fakeTable.ts
@@ -1,27 +1,33 @@
-/** A table service in memory for scenarios, with outages and lost answers. */
+/** An in-memory table service for scenarios, with outages and lost responses. */
 import type * as platform from "../backing/index";
 import type * as random from "../random/index";
 
+/** A table service whose faults a scenario controls. */
 export interface FakeTable extends platform.TableService {
+    /** While down, every call returns `unavailable`. */
     setDown(down: boolean): void;
+    /** While set, some transactions return `unknown`, whether they were committed or not. */
     setDropsResponses(loses: boolean): void;
+    /** Reads a value directly, without faults. */
     read(key: string): string | undefined;
 }
 
-const ANSWER_LOSS = 0.5;
+/** Probability that the response to a transaction is lost. */
+const RESPONSE_LOSS = 0.5;
 
+/** The random numbers choose which responses are lost. */
 export function createFakeTable(rng: random.Random): FakeTable {
     const rows = new Map<string, platform.TableRow>();
     let version = 0;
     let down = false;
-    let losing = false;
+    let dropsResponses = false;
     const unavailable = { kind: "unavailable" as const, message: "down" };
     return {
         setDown: isDown => {
             down = isDown;
         },
-        setDropsResponses: loses => {
-            losing = loses;
+        setDropsResponses: drops => {
+            dropsResponses = drops;
         },
         read: key => rows.get(key)?.value,
         get: async keys => down ? unavailable : { kind: "read", value: keys.map(key => rows.get(key)) },
@@ -48,8 +54,8 @@
                     return version;
                 })
                 : [];
-            if (losing && rng.nextFloat() < ANSWER_LOSS) {
-                return { kind: "unknown", message: "answer lost" };
+            if (dropsResponses && rng.nextFloat() < RESPONSE_LOSS) {
+                return { kind: "unknown", message: "response lost" };
             }
             return matches ? { kind: "committed", versions } : { kind: "conflict" };
         },
--- a/src/scenario/files.ts
+++ b/src/scenario/files.ts
@@ -1,17 +1,19 @@
+/** Reads scenario files. */
 import * as fs from "node:fs";
 import * as toml from "smol-toml";
 import * as result from "../result/index";
 import * as settings from "../settings/index";
 import * as schema from "./schema";
 
+/** A parsed scenario file. */
 export interface ScenarioFile {
     readonly file: string;
     readonly scenario: schema.Scenario;
-    /** Line of each `[[expect]]` in the file. */
+    /** Line number (from 1) of each `[[expect]]` in the file. */
     readonly expectLines: readonly number[];
 }
 
-/** Throws a `SettingsError` that names file, key and what was expected. */
+/** Throws a `SettingsError` that names the file, the key and the expected value. */
 export function readScenarioFile(file: string): ScenarioFile {
     let parsed: unknown;
     let text: string;
--- a/src/scenario/runScenario.ts
+++ b/src/scenario/runScenario.ts
@@ -1,4 +1,4 @@
-/** Runs one scenario: the real queue owner, scheduler, attempts and job store, on a manual clock over fakes. */
+/** Runs a scenario: the real queue owner, scheduler and job store with fake racks and a fake table, on a manual clock. */
 import * as async from "../async/index";
 import * as platform from "../backing/index";
 import * as clock from "../clock/index";
@@ -12,26 +12,33 @@
 import * as fakeTable from "./fakeTable";
 import type * as schema from "./schema";
 
+/** One `[[expect]]` of a scenario. */
 export type Expectation = schema.Scenario["expect"][number];
 
+/** An expectation that did not hold. */
 export interface Failure {
-    /** Position among the scenario's expectations. */
+    /** Index of the expectation in the scenario. */
     readonly index: number;
+    /** Time since the start of the scenario. */
     readonly atMs: number;
     readonly expected: string;
     readonly seen: string;
 }
 
+/** Result of a run; `counters` are those of the queue owners and the store. */
 export interface ScenarioResult {
     readonly failures: readonly Failure[];
     readonly counters: Readonly<Record<string, number>>;
 }
 
+/** Options of a run. The same options always give the same result. */
 export interface ScenarioOptions {
+    /** Overrides the policy of the scenario. */
     readonly policy?: configuration.Policy["kind"];
     readonly seed: number;
 }
 
+/** An instance that owns the zone's queue. */
 interface Owner {
     readonly queue: queue.ZoneQueue;
     readonly stop: () => void;
@@ -39,17 +46,19 @@
 
 const ZONE = "zone-a";
 const LEASES = { controlMs: 3000, taskMs: 15_000, marginMs: 500, syncMs: 900 };
-/** Failing over to the next owner takes about as long as noticing that the old one is silent. */
-const TAKEOVER_MS = 2000;
-const GANG_GRACE_MS = 6000;
+/** Failover takes about as long as the detection that the old owner does not respond. */
+const FAILOVER_MS = 2000;
+/** A gang that runs incomplete for longer than this counts as partial. */
+const PARTIAL_GANG_GRACE_MS = 6000;
 
+/** Runs a scenario to its end and checks its expectations. Throws if the guarantees do not fit on the site. */
 export async function runScenario(scenario: schema.Scenario, options: ScenarioOptions): Promise<ScenarioResult> {
     const time = clock.createManualClock();
     const rng = random.createRandom(options.seed);
     const counters = observe.createCounters({ instance: "scenario" });
     const table = fakeTable.createFakeTable(rng);
     const retry = platform.createRetryPolicy(100, 2000, rng);
-    const guarded = platform.createGuardedTable({
+    const guardedTable = platform.createGuardedTable({
         table,
         clock: time,
         counters,
@@ -59,7 +68,7 @@
         breakerFailures: 3,
         maxWaitMs: 2000,
     });
-    const store = jobs.createJobStore({ table: guarded, clock: time, retry, resolveMs: 3000 });
+    const store = jobs.createJobStore({ table: guardedTable, clock: time, retry, resolveMs: 3000 });
     const site = createSite(scenario, options.policy);
     let preset = site.preset;
     let revision = 1;
@@ -87,7 +96,7 @@
             store,
             getConfiguration,
             isLeaving: () => false,
-            // A killed owner's commands go nowhere.
+            // The commands of a killed owner are dropped.
             command: command => stopped.signal.aborted ? Promise.resolve(undefined) : racks.command(command),
             findOtherZone: () => undefined,
             notifyMoved: () => undefined,
@@ -127,7 +136,7 @@
             failedWorkers: [],
             writeId: "",
         };
-        // A caller whose submission was refused, or whose answer was lost, submits again under the same request id.
+        // A caller retries with the same request id if its submission was refused or the response was lost.
         for (let attempt = 1;; attempt++) {
             const written = await store.create(row);
             if (written.kind === "written" || (written.kind === "conflict" && written.found)) {
@@ -138,14 +147,14 @@
         await owner?.queue.handleNotice({ jobId, zone: ZONE, kind: "submitted", waitMs: 0 });
     };
 
-    const plan = (at: number, run: () => void) => time.setTimer(Math.max(1, at), run);
+    const schedule = (at: number, run: () => void) => time.setTimer(Math.max(1, at), run);
 
     for (const job of scenario.job) {
         for (let count = 0; count < job.count; count++) {
             const name = job.count === 1 ? job.id : `${job.id}-${count}`;
-            plan(job.at + count * job.every, () => void submit(job, name));
+            schedule(job.at + count * job.every, () => void submit(job, name));
             if (job.cancelAt !== undefined) {
-                plan(job.cancelAt, () => {
+                schedule(job.cancelAt, () => {
                     const notice = { jobId: jobIds.get(name) ?? "", zone: ZONE, kind: "cancel", waitMs: 0 };
                     void owner?.queue.handleNotice(notice);
                 });
@@ -177,7 +186,7 @@
                 if (on) {
                     owner?.stop();
                     owner = undefined;
-                    time.setTimer(TAKEOVER_MS, startOwner);
+                    time.setTimer(FAILOVER_MS, startOwner);
                 }
                 return;
             case "presetUsed":
@@ -187,9 +196,9 @@
         }
     };
     for (const fault of scenario.fault) {
-        plan(fault.at, () => applyFault(fault, true));
+        schedule(fault.at, () => applyFault(fault, true));
         if (fault.until !== undefined) {
-            plan(fault.until, () => applyFault(fault, false));
+            schedule(fault.until, () => applyFault(fault, false));
         }
     }
 
@@ -211,16 +220,19 @@
     };
     startOwner();
     const failures: Failure[] = [];
-    const inOrder = [...scenario.expect.entries()].sort(([, a], [, b]) => a.at - b.at);
-    for (const [index, expectation] of inOrder) {
+    const expectations = [...scenario.expect.entries()].sort(([, a], [, b]) => a.at - b.at);
+    for (const [index, expectation] of expectations) {
         await time.advance(Math.max(0, expectation.at - time.now()));
-        failures.push(...check(expectation, view).map(found => ({ index, atMs: time.now(), ...found })));
+        failures.push(
+            ...checkExpectation(expectation, view).map(mismatch => ({ index, atMs: time.now(), ...mismatch })),
+        );
     }
     await time.advance(Math.max(0, scenario.until - time.now()));
     owner?.stop();
     return { failures, counters: counters.getAll() };
 }
 
+/** What the expectations look at. Jobs are found by their names in the scenario. */
 interface ScenarioView {
     readonly time: clock.Clock;
     readonly racks: fakeRacks.FakeRacks;
@@ -237,73 +249,78 @@
     readonly seen: string;
 }
 
-function check(expectation: Expectation, view: ScenarioView): Mismatch[] {
-    const found: Mismatch[] = [];
+function checkExpectation(expectation: Expectation, view: ScenarioView): Mismatch[] {
+    const mismatches: Mismatch[] = [];
     const compare = (
         what: string,
-        wanted: number | undefined,
+        expected: number | undefined,
         seen: number,
-        holds: (seen: number, wanted: number) => boolean,
+        holds: (seen: number, expected: number) => boolean,
     ) => {
-        if (wanted !== undefined && !holds(seen, wanted)) {
-            found.push({ expected: `${what} ${wanted}`, seen: String(seen) });
+        if (expected !== undefined && !holds(seen, expected)) {
+            mismatches.push({ expected: `${what} ${expected}`, seen: String(seen) });
         }
     };
-    const atMost = (seen: number, wanted: number) => seen <= wanted;
-    const equal = (seen: number, wanted: number) => seen === wanted;
+    const isAtMost = (seen: number, expected: number) => seen <= expected;
+    const isEqual = (seen: number, expected: number) => seen === expected;
     const evictions = Object.entries(view.counters.getAll())
         .filter(([name]) => name.startsWith("jobs.evicted."))
         .reduce((sum, [, value]) => sum + value, 0);
-    compare("partial gangs", expectation.partialGangs, countPartialGangs(view), equal);
-    compare("double starts", expectation.doubleStarts, countDoubleStarts(view), equal);
-    compare("overbooked accelerators", expectation.overbooked, view.racks.getMaxOverbooking(), equal);
+    compare("partial gangs", expectation.partialGangs, countPartialGangs(view), isEqual);
+    compare("double starts", expectation.doubleStarts, countDoubleStarts(view), isEqual);
+    compare("overbooked accelerators", expectation.overbooked, view.racks.getMaxOverbooking(), isEqual);
     compare(
         "unfinished jobs",
         expectation.unfinished,
         [...view.jobIds.keys()].filter(name => getState(view, name).match(/queued|placed|none/)).length,
-        equal,
+        isEqual,
     );
-    compare("fragmentation at most", expectation.fragmentationAtMost, view.getFragmentation(), atMost);
-    compare("evictions at most", expectation.evictionsAtMost, evictions, atMost);
-    compare("evictions at least", expectation.evictionsAtLeast, evictions, (seen, wanted) => seen >= wanted);
+    compare("fragmentation at most", expectation.fragmentationAtMost, view.getFragmentation(), isAtMost);
+    compare("evictions at most", expectation.evictionsAtMost, evictions, isAtMost);
+    compare("evictions at least", expectation.evictionsAtLeast, evictions, (seen, expected) => seen >= expected);
     for (const name of expectation.job === undefined ? [] : view.getNames(expectation.job)) {
-        found.push(...checkJob(expectation, view, name));
+        mismatches.push(...checkJob(expectation, view, name));
     }
     if (expectation.job !== undefined && view.getNames(expectation.job).length === 0) {
-        found.push({ expected: `a job ${expectation.job}`, seen: "none" });
+        mismatches.push({ expected: `a job ${expectation.job}`, seen: "none" });
     }
-    return found;
+    return mismatches;
 }
 
 function checkJob(expectation: Expectation, view: ScenarioView, name: string): Mismatch[] {
-    const found: Mismatch[] = [];
+    const mismatches: Mismatch[] = [];
     const runs = view.racks.records.filter(record => record.jobId === view.jobIds.get(name));
     const state = getState(view, name);
     if (expectation.state !== undefined && state !== expectation.state) {
-        found.push({ expected: `${name} ${expectation.state}`, seen: state });
+        mismatches.push({ expected: `${name} ${expectation.state}`, seen: state });
     }
     const starts = runs.filter(record => record.index === 0).length;
     if (expectation.startsAtMost !== undefined && starts > expectation.startsAtMost) {
-        found.push({ expected: `${name} started at most ${expectation.startsAtMost} times`, seen: String(starts) });
+        mismatches.push({
+            expected: `${name} started at most ${expectation.startsAtMost} times`,
+            seen: String(starts),
+        });
     }
     if (expectation.waitAtMost !== undefined) {
-        const waited = (runs[0]?.startedAt ?? view.time.now()) - (view.submittedAt.get(name) ?? 0);
-        if (waited > expectation.waitAtMost) {
-            found.push({
+        const waitedMs = (runs[0]?.startedAt ?? view.time.now()) - (view.submittedAt.get(name) ?? 0);
+        if (waitedMs > expectation.waitAtMost) {
+            mismatches.push({
                 expected: `${name} waited at most ${expectation.waitAtMost} ms`,
-                seen: `${Math.round(waited)} ms`,
+                seen: `${Math.round(waitedMs)} ms`,
             });
         }
     }
-    const last = Math.max(0, ...runs.map(record => record.attempt));
-    const workerIds = [...new Set(runs.filter(record => record.attempt === last).map(record => record.workerId))]
+    const latestAttempt = Math.max(0, ...runs.map(record => record.attempt));
+    const workerIds = [
+        ...new Set(runs.filter(record => record.attempt === latestAttempt).map(record => record.workerId)),
+    ]
         .sort();
     if (
         expectation.ranOn !== undefined && JSON.stringify(workerIds) !== JSON.stringify([...expectation.ranOn].sort())
     ) {
-        found.push({ expected: `${name} on ${expectation.ranOn.join(", ")}`, seen: workerIds.join(", ") });
+        mismatches.push({ expected: `${name} on ${expectation.ranOn.join(", ")}`, seen: workerIds.join(", ") });
     }
-    return found;
+    return mismatches;
 }
 
 function getState(view: ScenarioView, name: string): string {
@@ -311,6 +328,7 @@
     return row?.outcome?.kind ?? row?.state ?? "none";
 }
 
+/** Attempts of gangs that started only a part of their members and ran longer than the grace period. */
 function countPartialGangs(view: ScenarioView): number {
     const attempts = new Map<string, fakeRacks.RunRecord[]>();
     for (const record of view.racks.records) {
@@ -320,12 +338,12 @@
         }
     }
     return [...attempts.values()].filter(records => {
-        const longest = Math.max(...records.map(record => (record.endedAt ?? view.time.now()) - record.startedAt));
-        return records.length < records[0]!.members && longest > GANG_GRACE_MS;
+        const longestMs = Math.max(...records.map(record => (record.endedAt ?? view.time.now()) - record.startedAt));
+        return records.length < records[0]!.members && longestMs > PARTIAL_GANG_GRACE_MS;
     }).length;
 }
 
-/** Jobs that may run once and were started more often, and jobs whose work ran to its end more than once. */
+/** Jobs that are not repeatable and were started more than once. */
 function countDoubleStarts(view: ScenarioView): number {
     return [...view.jobIds].filter(([name, jobId]) => {
         const row = view.getRow(name);
@@ -334,10 +352,11 @@
     }).length;
 }
 
+/** Throws if a guarantee of a preset does not fit on the site. */
 function createSite(scenario: schema.Scenario, policy: configuration.Policy["kind"] | undefined): configuration.Site {
     const { site } = scenario;
-    const key = (text: string) => ({ sha256: configuration.hashKey(text) });
-    const built = configuration.siteSchema.parse({
+    const createKey = (text: string) => ({ sha256: configuration.hashKey(text) });
+    const parsedSite = configuration.siteSchema.parse({
         preset: scenario.preset[0]!.name,
         topology: {
             zones: [ZONE],
@@ -351,8 +370,8 @@
                 })),
             })),
         },
-        accounts: site.accounts.map(name => ({ name, keys: [key(name)] })),
-        operators: [{ name: "operator", keys: [key("operator")] }],
+        accounts: site.accounts.map(name => ({ name, keys: [createKey(name)] })),
+        operators: [{ name: "operator", keys: [createKey("operator")] }],
         presets: scenario.preset.map(item => ({
             name: item.name,
             kind: "ordinary",
@@ -368,13 +387,13 @@
         policy: { kind: policy ?? site.policy },
         limits: { reclaimGraceMs: site.graceMs, maxFailures: site.maxFailures },
     });
-    const unplaced = built.presets.flatMap(item =>
-        placement.createPlan(item, built.topology, new Set()).unplaced.map(block =>
+    const unplaced = parsedSite.presets.flatMap(item =>
+        placement.createPlan(item, parsedSite.topology, new Set()).unplaced.map(block =>
             placement.describeUnplaced(item, block)
         )
     );
     if (unplaced.length > 0) {
         throw new Error(unplaced[0]);
     }
-    return built;
+    return parsedSite;
 }
--- a/src/scenario/schema.ts
+++ b/src/scenario/schema.ts
@@ -1,8 +1,9 @@
-/** The shape of a scenario file. Times are written as "90s", "5m", "2h"; docs/SCENARIOS.md teaches it. */
+/** Schema of a scenario file, which docs/SCENARIOS.md describes. Times are strings such as "90s", "5m" or "2h". */
 import * as z from "zod";
 import * as configuration from "../configuration/index";
 
 const UNITS_MS = { ms: 1, s: 1000, m: 60_000, h: 3_600_000 } as const;
+/** Parses a time into milliseconds. */
 const timeSchema = z.string().regex(
     /^\d+(\.\d+)?(ms|s|m|h)$/,
     "expected a time such as \"500ms\", \"90s\", \"5m\" or \"2h\"",
@@ -37,22 +38,23 @@
 });
 
 const jobSchema = z.strictObject({
-    /** Name of the job, or the stem of the names when `count` is above 1. */
+    /** Name of the job; if `count` is above 1, prefix of the names, which end in -0, -1 and so on. */
     id: z.string(),
     count: z.number().int().min(1).default(1),
     at: timeSchema.default(0),
-    /** Time between two of them. */
+    /** Interval between the submissions of two jobs. */
     every: timeSchema.default(0),
     account: z.string().default("alpha"),
     class: z.enum(["urgent", "batch"]).default("batch"),
     accelerators: z.number().int().min(1).max(128).default(1),
     adjacency: configuration.adjacencySchema.default("any"),
+    /** Actual run time. */
     runs: timeSchema,
-    /** What the caller declares; the true run time without it. */
+    /** Run time that the caller declares; default is the actual one. */
     declared: timeSchema.optional(),
     startBy: timeSchema.optional(),
     repeatable: z.boolean().default(true),
-    /** It fails wherever it runs. */
+    /** Whether every run fails, on any worker. */
     fails: z.boolean().default(false),
     cancelAt: timeSchema.optional(),
 });
@@ -70,20 +72,22 @@
         "ownerKilled",
         "presetUsed",
     ]),
-    /** The worker, rack or preset it concerns. */
+    /** Id of the affected worker or rack, or name of the preset; empty for the store and the owner. */
     target: z.string().default(""),
 });
 
 const expectSchema = z.strictObject({
     at: timeSchema,
-    /** A job, or all jobs whose names start with a stem followed by `*`. */
+    /** Name of a job, or a prefix followed by `*` for all jobs with it. */
     job: z.string().optional(),
     state: z.enum(["queued", "placed", "done", "failed", "notRun"]).optional(),
-    /** Times that the work was started at workers, at most. */
+    /** Maximum number of times that the job was started on workers. */
     startsAtMost: z.number().int().optional(),
+    /** Maximum time from submission to the first start. */
     waitAtMost: timeSchema.optional(),
+    /** Ids of the workers of the latest attempt. */
     ranOn: z.array(z.string()).optional(),
-    /** Whole-run counts. */
+    /** Counts over the whole run, up to `at`. */
     partialGangs: z.number().int().optional(),
     doubleStarts: z.number().int().optional(),
     overbooked: z.number().int().optional(),
@@ -93,9 +97,10 @@
     evictionsAtLeast: z.number().int().optional(),
 });
 
+/** A whole scenario file. */
 export const scenarioSchema = z.strictObject({
     about: z.string(),
-    /** How long to run. */
+    /** Length of the run. */
     until: timeSchema,
     site: siteSchema.default(siteSchema.parse({})),
     preset: z.array(presetSchema).default([{ name: "ordinary", guarantees: [], spares: 0, drained: [] }]),
@@ -103,4 +108,5 @@
     fault: z.array(faultSchema).default([]),
     expect: z.array(expectSchema).min(1),
 });
+/** A scenario with its defaults filled in; times are in milliseconds. */
 export type Scenario = z.infer<typeof scenarioSchema>;
