--- a/src/cli/configCommands.ts
+++ b/src/cli/configCommands.ts
@@ -1,14 +1,15 @@
+/** The command `config check`. */
 import type * as commander from "commander";
 import * as fs from "node:fs";
 import * as settings from "../settings/index";
 import * as output from "./output";
 
-/** Checks files of kinds that only the program's composition knows; `undefined` for a file of none of them. */
+/** Checks a kind of file that is declared outside this folder; returns `undefined` for files of other kinds. */
 export type FileChecker = (
     file: string,
 ) => { readonly kind: string; readonly problems: readonly string[]; } | undefined;
 
-/** `config check`: the same checks as at start, without starting anything. */
+/** Registers `config check`, which makes the same checks as at start-up but starts nothing. */
 export function register(program: commander.Command, checkers: readonly FileChecker[]): void {
     const config = program.command("config").description("settings files");
     config
@@ -17,13 +18,13 @@
         .argument("<file>")
         .option("--json", "one JSON document")
         .action((file: string, options: output.PrintOptions) => {
-            const kind = checkBy(checkers, file) ?? settings.checkFile(file);
+            const kind = checkWith(checkers, file) ?? settings.checkFile(file);
             output.print({ file, kind, result: "valid" }, options);
         });
 }
 
-/** The kind of a sound file; `undefined` where no checker knows it. */
-function checkBy(checkers: readonly FileChecker[], file: string): string | undefined {
+/** Returns the kind of a valid file, or `undefined` if no checker knows it. Throws a `SettingsError` for an invalid file. */
+function checkWith(checkers: readonly FileChecker[], file: string): string | undefined {
     for (const check of checkers) {
         const found = fs.existsSync(file) ? check(file) : undefined;
         if (found && found.problems.length > 0) {
--- a/src/cli/experimentCommand.ts
+++ b/src/cli/experimentCommand.ts
@@ -1,3 +1,4 @@
+/** The command `experiment`. */
 import * as commander from "commander";
 import * as fs from "node:fs";
 import * as decisions from "../decisions/index";
@@ -22,10 +23,10 @@
 
 const DEFAULT_THREADS = 4;
 
-/** `experiment`: loads played through the real decisions, faster than time. */
+/** Registers `experiment`, which simulates loads with the real scheduler, faster than real time. */
 export function register(program: commander.Command): void {
     program.command("experiment")
-        .description("Play loads through the scheduler against emulated workers, and tell what callers get")
+        .description("Simulate loads with the scheduler and emulated workers, and print how well callers are served")
         .argument("[loads...]", `of ${Object.keys(experiment.LOADS).join(", ")}; without any: small`)
         .addOption(
             new commander.Option("--policy <names...>", "policies to compare")
@@ -33,26 +34,32 @@
                 .default(["worth"]),
         )
         .option("--seed <n>", "seed of the first run", Number, 1)
-        .option("--seeds <n>", "runs with as many seeds in a row", Number, 1)
+        .option("--seeds <n>", "number of runs, with consecutive seeds", Number, 1)
         .option("--json", "one JSON document with all figures")
         .option("--report <file>", "write an HTML page with charts")
-        .option("--drawn <n>", "compare the policies on as many random deployments instead", Number)
+        .option("--drawn <n>", "compare the policies on this number of random deployments instead", Number)
         .addOption(
-            new commander.Option("--size <size>", "of the random deployments")
+            new commander.Option("--size <size>", "size of the random deployments")
                 .choices(Object.values(experiment.Size))
                 .default(experiment.Size.Small),
         )
         .addOption(
-            new commander.Option("--without <names...>", "compare with each of these mechanisms left out, or all")
+            new commander.Option(
+                "--without <names...>",
+                "compare with each of these mechanisms disabled by itself, or with each of all",
+            )
                 .choices([ALL, ...Object.keys(decisions.MECHANISMS)])
                 .default([]),
         )
-        .option("--holdout", "random deployments of seeds that are kept for the end")
-        .option("--hazards", "random deployments with workers that crash and come back, shrink, or are taken down")
-        .option("--threads <n>", "threads that play random deployments", Number, DEFAULT_THREADS)
+        .option("--holdout", "random deployments of seeds that are reserved for a final check")
+        .option(
+            "--hazards",
+            "random deployments with workers that crash and restart or shrink, and jobs that crash workers",
+        )
+        .option("--threads <n>", "threads that simulate random deployments", Number, DEFAULT_THREADS)
         .action(async (names: string[], options: ExperimentOptions) => {
             if (options.drawn === undefined) {
-                await run(names.length > 0 ? names : ["small"], options);
+                await runNamedLoads(names.length > 0 ? names : ["small"], options);
                 return;
             }
             await drawnExperiment.runRandomExperiment({
@@ -63,6 +70,7 @@
         });
 }
 
+/** Value of `--without` that stands for every mechanism. */
 const ALL = "all";
 
 function expandAll(names: ReadonlyArray<decisions.Mechanism | typeof ALL>): readonly decisions.Mechanism[] {
@@ -73,16 +81,16 @@
 
 type RunResult = Parameters<typeof experiment.renderReport>[0][number];
 
-async function run(names: readonly string[], options: ExperimentOptions): Promise<void> {
+async function runNamedLoads(names: readonly string[], options: ExperimentOptions): Promise<void> {
     const results: RunResult[] = [];
     for (const name of names) {
         const load = experiment.LOADS[name];
         if (!load) {
-            throw new output.CommandError(result.ResultCode.NotFound, `there is no load ${name}`);
+            throw new output.CommandError(result.ResultCode.NotFound, `there is no load "${name}"`);
         }
         for (const policy of options.policy) {
             for (let seed = options.seed; seed < options.seed + options.seeds; seed++) {
-                results.push(await playOne(name, load, policy, seed, options.json === true));
+                results.push(await simulateOne(name, load, policy, seed, options.json === true));
             }
         }
     }
@@ -92,30 +100,33 @@
     if (options.report !== undefined) {
         fs.writeFileSync(options.report, await experiment.renderReport(results));
     }
-    const broken = results.filter(item => item.summary.breaches.length > 0);
-    if (broken.length > 0) {
-        throw new output.CommandError(result.ResultCode.TaskFailed, `${broken.length} runs broke a promise`);
+    const violating = results.filter(item => item.summary.breaches.length > 0);
+    if (violating.length > 0) {
+        throw new output.CommandError(
+            result.ResultCode.TaskFailed,
+            `${violating.length} runs violated a guarantee of the scheduler`,
+        );
     }
 }
 
-async function playOne(
+async function simulateOne(
     name: string,
     load: experiment.Load,
     policy: decisions.PolicyName,
     seed: number,
     quiet: boolean,
 ): Promise<RunResult> {
-    const played = await experiment.simulate({ load, seed, policy: decisions.POLICIES[policy] });
-    const summary = experiment.summarise(played);
-    const upperBound = experiment.getUpperBound(load, played.jobs.map(job => job.planned));
+    const simulated = await experiment.simulate({ load, seed, policy: decisions.POLICIES[policy] });
+    const summary = experiment.summarise(simulated);
+    const upperBound = experiment.getUpperBound(load, simulated.jobs.map(job => job.planned));
     if (!quiet) {
         printSummary(`${name}, policy ${policy}, seed ${seed}`, summary);
         output.writeLine(
-            `  no schedule earns more than ${upperBound.toFixed(3)}; share earned `
+            `  upper bound of any schedule ${upperBound.toFixed(3)}; share earned `
                 + (summary.all.worth / upperBound).toFixed(3),
         );
     }
-    return { load: name, policy, seed, summary, upperBound, samples: played.samples };
+    return { load: name, policy, seed, summary, upperBound, samples: simulated.samples };
 }
 
 const COLUMNS = "                    asked  in time   late  missed  refused  worth  wait p50/p99 ms   done p50/p99 ms";
@@ -128,21 +139,21 @@
     }
     output.writeLine(
         `  accelerators in use ${summary.utilisation.toFixed(2)}, fragmentation ${summary.fragmentation.toFixed(2)}, `
-            + `runs stopped ${summary.stoppedRuns}, core-seconds thrown away `
+            + `runs stopped ${summary.stoppedRuns}, thrown-away core-seconds `
             + `${Math.round(summary.thrownAwayCoreSeconds)}`,
     );
-    summary.breaches.forEach(breach => output.writeLine(`  BROKEN: ${breach}`));
+    summary.breaches.forEach(violation => output.writeLine(`  BROKEN: ${violation}`));
 }
 
 function renderGroup(group: experiment.Group): string {
-    const number = (value: number, width: number) => String(value).padStart(width);
+    const formatNumber = (value: number, width: number) => String(value).padStart(width);
     return [
         `  ${group.name.padEnd(16)}`,
-        number(group.asked - group.cancelled, 7),
-        number(group.inTime, 9),
-        number(group.late, 7),
-        number(group.missed, 8),
-        number(group.refused, 9),
+        formatNumber(group.asked - group.cancelled, 7),
+        formatNumber(group.inTime, 9),
+        formatNumber(group.late, 7),
+        formatNumber(group.missed, 8),
+        formatNumber(group.refused, 9),
         group.worth.toFixed(3).padStart(7),
         `${group.waitMs.p50}/${group.waitMs.p99}`.padStart(17),
         `${group.completionMs.p50}/${group.completionMs.p99}`.padStart(18),
--- a/src/cli/explainCommand.ts
+++ b/src/cli/explainCommand.ts
@@ -1,3 +1,4 @@
+/** The command `explain`. */
 import type * as commander from "commander";
 import * as fs from "node:fs";
 import * as explain from "../explain/index";
@@ -10,9 +11,10 @@
     readonly json?: boolean;
 }
 
+/** Registers `explain`, which reconstructs from log lines what happened to jobs. */
 export function register(program: commander.Command): void {
     program.command("explain")
-        .description("Tell from log lines what became of a request or job, or of all jobs")
+        .description("Reconstruct from log lines what happened to a request or job, or to all jobs")
         .argument("[id]", "id of the request or of the job")
         .option("--all", "a ledger of all jobs: what became of them, and where their time went")
         .option("--logs <files...>", "files with log lines of any instances; without it standard input")
@@ -25,12 +27,12 @@
                 return;
             }
             if (id === undefined) {
-                throw new output.CommandError(result.ResultCode.BadRequest, "needs an id, or --all");
+                throw new output.CommandError(result.ResultCode.BadRequest, "an id or --all is required");
             }
             const story = explain.createTimeline(lines, id);
             output.writeLine(options.json ? JSON.stringify(story) : explain.renderTimeline(story));
             if (story.verdict.kind === "unknown") {
-                throw new output.CommandError(result.ResultCode.NotFound, `no line tells of ${id}`);
+                throw new output.CommandError(result.ResultCode.NotFound, `no log line mentions the id "${id}"`);
             }
         });
 }
--- a/src/cli/index.ts
+++ b/src/cli/index.ts
@@ -1,3 +1,3 @@
-/** The command line, but for the stand-ins' commands. */
+/** The command line, without the commands of the stand-ins. */
 export { CommandError, print, type PrintOptions, runProgram } from "./output";
 export { createProgram } from "./program";
--- a/src/cli/jobCommands.ts
+++ b/src/cli/jobCommands.ts
@@ -1,3 +1,4 @@
+/** The commands `job submit|status|cancel|result`: calls of the callers' HTTP interface. */
 import * as commander from "commander";
 import * as fs from "node:fs";
 import * as output from "./output";
@@ -26,9 +27,10 @@
 }
 
 const DEFAULT_URL = "http://127.0.0.1:7101";
+/** Environment variable that holds the key of the client account. */
 export const KEY_ENV_VARIABLE = "PLANTAINCHUTE_KEY";
 
-/** `job submit|status|cancel|result`. */
+/** Registers the commands of `job`. */
 export function register(program: commander.Command): void {
     const job = program.command("job").description("a caller's jobs");
     withCaller(job.command("submit"))
@@ -48,11 +50,11 @@
         .option("--declared-ms <ms>", "expected run time", parseNonNegativeNumber)
         .option(
             "--deadline-ms <ms>",
-            "time until the start (interactive: the answer) is useless",
+            "time after which the start (interactive: the answer) is useless",
             parseNonNegativeNumber,
         )
         .option("--once", "may run at most once")
-        .option("--payload <text>", "what the worker gets")
+        .option("--payload <text>", "payload for the worker")
         .option("--payload-file <file>", "read the payload from a file")
         .option("--wait <ms>", "wait for the end", parseNonNegativeNumber)
         .action(async (options: SubmitOptions) => {
@@ -109,7 +111,7 @@
     };
 }
 
-/** A job is shown; an answer's bytes are passed on as they are. */
+/** Prints a job, or writes the bytes of an answer unchanged. */
 function printAnswer(answer: unknown, options: output.PrintOptions): void {
     if (answer instanceof Uint8Array) {
         process.stdout.write(answer);
@@ -127,10 +129,11 @@
     return waitMs === undefined ? path : `${path}?waitMs=${waitMs}`;
 }
 
+/** Parser of option values; fractions are accepted. */
 export function parseNonNegativeNumber(text: string): number {
     const value = Number(text);
     if (!Number.isFinite(value) || value < 0) {
-        throw new commander.InvalidArgumentError("expected a number that is not negative");
+        throw new commander.InvalidArgumentError("expected a non-negative number");
     }
     return value;
 }
--- a/src/cli/loadCommand.ts
+++ b/src/cli/loadCommand.ts
@@ -1,3 +1,4 @@
+/** The command `load`. */
 import * as commander from "commander";
 import * as async from "../async/index";
 import * as clock from "../clock/index";
@@ -26,11 +27,11 @@
     readonly seed: number;
 }
 
-/** `load`: one stream of requests against a running site, with a summary at the end. */
+/** Registers `load`, which sends one stream of requests to a running site and prints a summary. */
 export function register(program: commander.Command): void {
     program
         .command("load")
-        .description("send a stream of requests to a running site; start several for a mix")
+        .description("send a stream of requests to a running site; start several processes for a mix")
         .option("--urls <origins>", "callers' addresses of the entries, comma-separated", "http://127.0.0.1:7101")
         .option("--key <key>", `the client account's key (default: the variable ${jobCommands.KEY_ENV_VARIABLE})`)
         .option("--account <name>", "name shown in the summary", "account")
@@ -41,13 +42,22 @@
         )
         .option("--rate <n>", "requests a second", jobCommands.parseNonNegativeNumber, 10)
         .option("--burst <n>", "requests that arrive together", jobCommands.parseNonNegativeNumber, 1)
-        .option("--accelerators <list>", "sizes to choose from; more than a worker has makes gangs", "1")
+        .option(
+            "--accelerators <list>",
+            "sizes to choose from, comma-separated; more than a worker has makes a gang",
+            "1",
+        )
         .addOption(
             new commander.Option("--adjacency <kind>", "adjacency").choices(["any", "worker", "rack", "adjacentRacks"])
                 .default("any"),
         )
         .option("--run-ms <ms>", "mean run time of the work", jobCommands.parseNonNegativeNumber, 10)
-        .option("--declared-factor <x>", "declared over real run time", jobCommands.parseNonNegativeNumber, 1)
+        .option(
+            "--declared-factor <x>",
+            "declared run time divided by the actual one",
+            jobCommands.parseNonNegativeNumber,
+            1,
+        )
         .option("--deadline-ms <ms>", "deadline", jobCommands.parseNonNegativeNumber)
         .option("--once", "work that may run at most once")
         .option(
--- a/src/cli/operatorCommands.ts
+++ b/src/cli/operatorCommands.ts
@@ -1,3 +1,4 @@
+/** The commands `preset`, `account`, `worker` and `status`: calls of the operators' HTTP interface. */
 import * as commander from "commander";
 import * as crypto from "node:crypto";
 import * as fs from "node:fs";
@@ -9,7 +10,7 @@
 import * as siteClient from "./siteClient";
 
 interface OperatorOptions extends output.PrintOptions {
-    /** Comma-separated operators' addresses. */
+    /** Comma-separated origins of the instances' operator interfaces. */
     readonly operators: string;
     readonly key?: string;
 }
@@ -24,21 +25,21 @@
     readonly contracts: configuration.Contracts;
 }
 
-const DEFAULT_OPERATORS = "http://127.0.0.1:7201";
-const KEY_VARIABLE = "PLANTAINCHUTE_OPERATOR_KEY";
+const DEFAULT_ORIGINS = "http://127.0.0.1:7201";
+const KEY_ENV_VARIABLE = "PLANTAINCHUTE_OPERATOR_KEY";
 
-/** `preset list|show|set|use`, `account list|set`, `worker list`, `status`. */
+/** Registers `preset list|show|set|use`, `account list|set`, `worker list` and `status`. */
 export function register(program: commander.Command): void {
     registerPresets(program.command("preset").description("presets"));
     registerAccounts(program.command("account").description("client accounts"));
     const worker = program.command("worker").description("workers");
-    withOperator(worker.command("list"))
+    addOperatorOptions(worker.command("list"))
         .description("workers of the racks that the given instances own")
         .action(async (options: OperatorOptions) => {
             const lists = await callAll(options, "/v1/workers");
             output.print(lists.flat() as Array<Record<string, unknown>>, options);
         });
-    withOperator(program.command("status"))
+    addOperatorOptions(program.command("status"))
         .description("state, queues, counters and completion times of the given instances")
         .action(async (options: OperatorOptions) => {
             const statuses = await callAll(options, "/v1/status") as instanceModule.InstanceStatus[];
@@ -47,7 +48,7 @@
 }
 
 function registerPresets(preset: commander.Command): void {
-    withOperator(preset.command("list")).description("all presets").action(async (options: OperatorOptions) => {
+    addOperatorOptions(preset.command("list")).description("all presets").action(async (options: OperatorOptions) => {
         const { contracts, head } = await readConfiguration(options);
         const rows = contracts.presets.map(item => ({
             name: item.name,
@@ -58,7 +59,7 @@
         }));
         output.print(rows, options);
     });
-    withOperator(preset.command("show")).description("one preset").argument("<name>").action(
+    addOperatorOptions(preset.command("show")).description("one preset").argument("<name>").action(
         async (name: string, options: OperatorOptions) => {
             const { contracts } = await readConfiguration(options);
             const found = contracts.presets.find(item => item.name === name);
@@ -68,18 +69,21 @@
             output.print(options.json ? found : found.guarantees, options);
         },
     );
-    withChange(preset.command("set")).description("create or replace a preset").argument("<file>", "TOML of one preset")
+    addChangeOptions(preset.command("set")).description("create or replace a preset").argument(
+        "<file>",
+        "TOML of one preset",
+    )
         .action(
             async (file: string, options: ChangeOptions) =>
-                change(options, "PUT", "/v1/presets", { preset: readToml(file) }),
+                applyChange(options, "PUT", "/v1/presets", { preset: readToml(file) }),
         );
-    withChange(preset.command("use")).description("put a preset in force").argument("<name>").action(
-        async (name: string, options: ChangeOptions) => change(options, "POST", "/v1/preset", { preset: name }),
+    addChangeOptions(preset.command("use")).description("put a preset in force").argument("<name>").action(
+        async (name: string, options: ChangeOptions) => applyChange(options, "POST", "/v1/preset", { preset: name }),
     );
 }
 
 function registerAccounts(account: commander.Command): void {
-    withOperator(account.command("list")).description("all client accounts").action(
+    addOperatorOptions(account.command("list")).description("all client accounts").action(
         async (options: OperatorOptions) => {
             const { contracts } = await readConfiguration(options);
             const rows = contracts.accounts.map(item => ({
@@ -94,30 +98,30 @@
             output.print(rows, options);
         },
     );
-    withChange(account.command("set")).description("create or replace an account").argument(
+    addChangeOptions(account.command("set")).description("create or replace an account").argument(
         "<file>",
         "TOML of one account",
     )
         .action(async (file: string, options: ChangeOptions) =>
-            change(options, "PUT", "/v1/accounts", { account: readToml(file) })
+            applyChange(options, "PUT", "/v1/accounts", { account: readToml(file) })
         );
 }
 
-function withOperator(command: commander.Command): commander.Command {
+function addOperatorOptions(command: commander.Command): commander.Command {
     return command
-        .option("--operators <origins>", "operators' addresses, comma-separated", DEFAULT_OPERATORS)
-        .option("--key <key>", `the operator's key (default: the variable ${KEY_VARIABLE})`)
+        .option("--operators <origins>", "operators' addresses, comma-separated", DEFAULT_ORIGINS)
+        .option("--key <key>", `the operator's key (default: the variable ${KEY_ENV_VARIABLE})`)
         .option("--json", "one JSON document");
 }
 
-function withChange(command: commander.Command): commander.Command {
-    return withOperator(command)
+function addChangeOptions(command: commander.Command): commander.Command {
+    return addOperatorOptions(command)
         .option("--operation-id <id>", "repeat an operation whose answer was lost")
         .option("--expected-revision <n>", "refuse when another revision is in force", Number);
 }
 
 function getClients(options: OperatorOptions): siteClient.SiteClient[] {
-    const key = options.key ?? process.env[KEY_VARIABLE] ?? "";
+    const key = options.key ?? process.env[KEY_ENV_VARIABLE] ?? "";
     return options.operators.split(",").map(origin => siteClient.createSiteClient(origin, key));
 }
 
@@ -129,7 +133,8 @@
     return await getClients(options)[0]!.call("GET", "/v1/configuration") as ConfigurationBody;
 }
 
-async function change(
+/** Sends a change of the configuration and prints the new revision. A repeated operation id has no further effect. */
+async function applyChange(
     options: ChangeOptions,
     method: "POST" | "PUT",
     path: string,
--- a/src/cli/output.ts
+++ b/src/cli/output.ts
@@ -1,9 +1,9 @@
-/** What the command line prints, and how it ends. */
+/** Output and exit codes of the command line. */
 import * as commander from "commander";
 import * as result from "../result/index";
 import * as settings from "../settings/index";
 
-/** Ends the command with one line and the exit code of the result code. */
+/** An error that ends the command with one line on standard error and the exit code of its result code. */
 // eslint-disable-next-line no-restricted-syntax
 export class CommandError extends Error {
     constructor(readonly code: number, message: string) {
@@ -11,13 +11,15 @@
     }
 }
 
+/** Options of commands that print results. */
 export interface PrintOptions {
+    /** Prints one JSON document in place of text. */
     readonly json?: boolean;
 }
 
 type Row = Readonly<Record<string, unknown>>;
 
-/** A table for people, or one JSON document for programs. */
+/** Prints a table or a list of fields, or one JSON document. */
 export function print(value: Row | readonly Row[], options: PrintOptions): void {
     if (options.json) {
         writeLine(JSON.stringify(value));
@@ -26,6 +28,7 @@
     writeLine(Array.isArray(value) ? formatTable(value as readonly Row[]) : formatFields(value as Row));
 }
 
+/** Writes a line to standard output. */
 export function writeLine(line: string): void {
     process.stdout.write(`${line}\n`);
 }
@@ -58,7 +61,7 @@
     return typeof value === "object" ? JSON.stringify(value) : String(value);
 }
 
-/** Runs the program and sets the exit code; every error is one line on standard error. */
+/** Runs the program and sets the exit code. Errors are printed to standard error, one line each. */
 export async function runProgram(program: commander.Command, args: readonly string[]): Promise<void> {
     try {
         await program.parseAsync([...args], { from: "user" });
@@ -70,7 +73,7 @@
 
 function reportError(err: unknown): number {
     if (err instanceof commander.CommanderError) {
-        // Commander has printed it already; help and version end with 0.
+        // Commander has printed the error already; help and version have exit code 0.
         return err.exitCode === 0 ? 0 : result.getResultInfo(result.ResultCode.BadRequest).exitCode;
     }
     if (err instanceof CommandError) {
--- a/src/cli/program.ts
+++ b/src/cli/program.ts
@@ -1,4 +1,4 @@
-/** The commands. */
+/** Assembles the command line from its commands. */
 import * as commander from "commander";
 import * as configCommands from "./configCommands";
 import * as experimentCommand from "./experimentCommand";
@@ -9,7 +9,7 @@
 import * as scenarioCommand from "./scenarioCommand";
 import * as serveCommand from "./serveCommand";
 
-/** `checkers` know files beyond those of the present interface. */
+/** `checkers` check kinds of files that `settings.checkFile` does not know. */
 export function createProgram(checkers: readonly configCommands.FileChecker[] = []): commander.Command {
     const program = new commander.Command("plantainchute")
         .description("Schedules multi-accelerator jobs under client account guarantees")
--- a/src/cli/scenarioCommand.ts
+++ b/src/cli/scenarioCommand.ts
@@ -1,3 +1,4 @@
+/** The command `scenario run`. */
 import * as commander from "commander";
 import * as result from "../result/index";
 import * as scenario from "../scenario/index";
@@ -8,7 +9,7 @@
     readonly seed: number;
 }
 
-/** `scenario run`: scripted scenarios on a manual clock. */
+/** Registers `scenario run`, which runs scripted scenarios on a manual clock. */
 export function register(program: commander.Command): void {
     program
         .command("scenario")
@@ -16,14 +17,14 @@
         .command("run")
         .argument("<files...>", "scenario files")
         .addOption(
-            new commander.Option("--policy <policy>", "policy in place of the scenario's").choices([
+            new commander.Option("--policy <policy>", "overrides the policy of the scenarios").choices([
                 "fifoFirstFit",
                 "bestFit",
                 "guaranteed",
             ]),
         )
         .option("--seed <n>", "seed of the random numbers", Number, 1)
-        .option("--json", "one JSON document a scenario")
+        .option("--json", "one JSON document per scenario")
         .action(async (files: string[], options: RunOptions) => {
             let failed = 0;
             for (const file of files) {
--- a/src/cli/serveCommand.ts
+++ b/src/cli/serveCommand.ts
@@ -1,8 +1,9 @@
+/** The command `serve`. */
 import type * as commander from "commander";
 import * as instanceModule from "../instance/index";
 import * as settings from "../settings/index";
 
-/** `serve`: one entry instance, until SIGTERM or SIGINT. */
+/** Registers `serve`, which runs one entry instance until SIGTERM or SIGINT. */
 export function register(program: commander.Command): void {
     program
         .command("serve")
@@ -15,7 +16,7 @@
             const instance = instanceModule.createInstance({ settings: cfg, bootstrapSite });
             await instance.start();
             await waitForSignal();
-            // A second signal ends at once; what was under way is then resolved by the other instances.
+            // A second signal exits at once; the other instances then take over the unfinished work.
             process.once("SIGTERM", () => process.exit(1));
             process.once("SIGINT", () => process.exit(1));
             await instance.stop();
--- a/src/cli/siteClient.ts
+++ b/src/cli/siteClient.ts
@@ -1,10 +1,11 @@
-/** The command line's calls to a running site. */
+/** HTTP client of the command line for a running site. */
 import * as undici from "undici";
 import * as result from "../result/index";
 import * as output from "./output";
 
+/** Client of one instance's HTTP interface. */
 export interface SiteClient {
-    /** The parsed body, or bytes where the answer is not JSON. Throws a `CommandError` for a refusal. */
+    /** Returns the parsed body, or the bytes if it is not JSON. Throws a `CommandError` if the call is refused or fails. */
     call(method: "GET" | "POST" | "PUT" | "DELETE", path: string, body?: unknown): Promise<unknown>;
 }
 
@@ -15,19 +16,20 @@
     readonly retryAfterMs?: number;
 }
 
-const TIMEOUT_MS = 150_000;
+const HEADERS_TIMEOUT_MS = 150_000;
 
+/** `origin` is the scheme, host and port of an instance; `key` the bearer token. */
 export function createSiteClient(origin: string, key: string): SiteClient {
     return {
         call: async (method, path, body) => {
-            const answered = await send(origin, key, method, path, body);
-            if (!answered.isJson) {
-                return answered.bytes;
+            const res = await send(origin, key, method, path, body);
+            if (!res.isJson) {
+                return res.bytes;
             }
-            const parsed: unknown = JSON.parse(answered.bytes.toString("utf8"));
-            if (answered.status >= 300) {
+            const parsed: unknown = JSON.parse(res.bytes.toString("utf8"));
+            if (res.status >= 300) {
                 const { code, message, ran, retryAfterMs } = parsed as RefusalBody;
-                const retry = retryAfterMs === undefined ? "" : `; try again after ${retryAfterMs} ms`;
+                const retry = retryAfterMs === undefined ? "" : `; retry after ${retryAfterMs} ms`;
                 throw new output.CommandError(code ?? result.ResultCode.Internal, `${message} (ran: ${ran}${retry})`);
             }
             return parsed;
@@ -47,7 +49,7 @@
             method,
             headers: { "authorization": `Bearer ${key}`, "content-type": "application/json" },
             body: body === undefined ? undefined : JSON.stringify(body),
-            headersTimeout: TIMEOUT_MS,
+            headersTimeout: HEADERS_TIMEOUT_MS,
         });
         const isJson = String(res.headers["content-type"]).startsWith("application/json");
         return { status: res.statusCode, isJson, bytes: Buffer.from(await res.body.arrayBuffer()) };
