--- a/src/experiment/generate.ts
+++ b/src/experiment/generate.ts
@@ -162,10 +162,10 @@
     return Math.max(1, Math.min(max, Math.round(width)));
 }
 
-function draw({ mean, variation: spread, max: most }: loads.Distribution, source: random.Random): number {
+function draw({ mean, variation, max }: loads.Distribution, source: random.Random): number {
     // A constant plus an exponential part: in the users' data, widths have a long tail and durations hardly any.
-    const value = mean * (1 - spread) + (spread > 0 ? source.nextExponential(mean * spread) : 0);
-    return Math.min(most, value);
+    const value = mean * (1 - variation) + (variation > 0 ? source.nextExponential(mean * variation) : 0);
+    return Math.min(max, value);
 }
 
 function pickAccount(load: loads.Load, source: random.Random): number {
--- a/src/scenario/__tests__/scenarios.test.ts
+++ b/src/scenario/__tests__/scenarios.test.ts
@@ -31,13 +31,13 @@
 });
 
 test("a failed expectation names the expected and the seen value", async () => {
-    const broken = scenario.scenarioSchema.parse({
+    const failing = scenario.scenarioSchema.parse({
         about: "a job that cannot be done yet",
         until: "20s",
         job: [{ id: "a", at: "5s", runs: "10m" }],
         expect: [{ at: "10s", job: "a", state: "done" }],
     });
-    const { failures } = await scenario.runScenario(broken, { seed: 1 });
+    const { failures } = await scenario.runScenario(failing, { seed: 1 });
     expect(failures).toEqual([{ index: 0, atMs: 10_000, expected: "a done", seen: "placed" }]);
 });
 
--- a/src/scenario/fakeRacks.ts
+++ b/src/scenario/fakeRacks.ts
@@ -62,7 +62,7 @@
 /** Duration of the tasks' leases. */
 const TASK_LEASE_MS = 15_000;
 /** Probability that a response to commands is lost. */
-const RESPONSE_LOSS = 0.5;
+const RESPONSE_LOSS_PROBABILITY = 0.5;
 
 /** `shapes` are the workers of all racks; the random numbers choose which responses are lost. */
 export function createFakeRacks(
@@ -304,7 +304,7 @@
                 return undefined;
             }
             const results = await Promise.all(command.commands.map(executeCommand));
-            return dropping.has(command.rackId) && rng.nextFloat() < RESPONSE_LOSS
+            return dropping.has(command.rackId) && rng.nextFloat() < RESPONSE_LOSS_PROBABILITY
                 ? undefined
                 : { owner: true, results };
         },
--- a/src/scenario/fakeTable.ts
+++ b/src/scenario/fakeTable.ts
@@ -13,7 +13,7 @@
 }
 
 /** Probability that the response to a transaction is lost. */
-const RESPONSE_LOSS = 0.5;
+const RESPONSE_LOSS_PROBABILITY = 0.5;
 
 /** The random numbers choose which responses are lost. */
 export function createFakeTable(rng: random.Random): FakeTable {
@@ -54,7 +54,7 @@
                     return version;
                 })
                 : [];
-            if (dropsResponses && rng.nextFloat() < RESPONSE_LOSS) {
+            if (dropsResponses && rng.nextFloat() < RESPONSE_LOSS_PROBABILITY) {
                 return { kind: "unknown", message: "response lost" };
             }
             return matches ? { kind: "committed", versions } : { kind: "conflict" };
