--- a/src/placement/__tests__/reclaim.test.ts
+++ b/src/placement/__tests__/reclaim.test.ts
@@ -1,4 +1,7 @@
-/** The guarantee plan, and the check that keeps every guarantee reclaimable. */
+/**
+ * Tests of the guarantee plan and of the check that keeps every guarantee reclaimable. Without the check, a
+ * non-evictable task on another account's home would block that account's guaranteed jobs for as long as it runs.
+ */
 import * as fc from "fast-check";
 import * as configuration from "../../configuration/index";
 import * as placement from "../index";
@@ -6,10 +9,10 @@
 const CAPACITY = { accelerators: 8, slots: 8, cpus: 32, memoryMb: 8192 };
 const NEEDS = (accelerators: number) => ({ accelerators, slots: 1, cpus: accelerators, memoryMb: 64 * accelerators });
 
-function createBooks(
+function createWorker(
     homes: Record<string, number>,
     tasks: ReadonlyArray<[account: string, accelerators: number, evictable: boolean]>,
-): placement.ReclaimBooks {
+): placement.WorkerAllocation {
     return {
         capacity: CAPACITY,
         homes: new Map(Object.entries(homes)),
@@ -25,38 +28,50 @@
 
 test.each(
     [
-        { name: "evictable work anywhere", homes: { beta: 8 }, tasks: [], task: ["alpha", 8, true], allowed: true },
         {
-            name: "hard work on another's home",
+            name: "evictable task may use another account's home",
+            homes: { beta: 8 },
+            tasks: [],
+            task: ["alpha", 8, true],
+            allowed: true,
+        },
+        {
+            name: "non-evictable task may not use another account's home",
             homes: { beta: 8 },
             tasks: [],
             task: ["alpha", 1, false],
             allowed: false,
         },
-        { name: "hard work on the own home", homes: { beta: 8 }, tasks: [], task: ["beta", 8, false], allowed: true },
         {
-            name: "hard work on what is nobody's",
+            name: "non-evictable task may use its own account's home",
+            homes: { beta: 8 },
+            tasks: [],
+            task: ["beta", 8, false],
+            allowed: true,
+        },
+        {
+            name: "non-evictable task may use accelerators outside all homes",
             homes: { beta: 4 },
             tasks: [],
             task: ["alpha", 4, false],
             allowed: true,
         },
         {
-            name: "hard work beyond what is nobody's",
+            name: "non-evictable tasks together may not exceed the accelerators outside all homes",
             homes: { beta: 4 },
             tasks: [["alpha", 3, false]],
             task: ["alpha", 2, false],
             allowed: false,
         },
         {
-            name: "evictable work does not count against it",
+            name: "evictable tasks do not count towards the accelerators outside all homes",
             homes: { beta: 4 },
             tasks: [["alpha", 4, true]],
             task: ["alpha", 4, false],
             allowed: true,
         },
         {
-            name: "the owner's hard work beyond its home",
+            name: "non-evictable tasks of an account may not exceed its home into another account's home",
             homes: { beta: 4, alpha: 4 },
             tasks: [["beta", 4, false]],
             task: ["beta", 1, false],
@@ -64,8 +79,11 @@
         },
     ] as const,
 )("$name", ({ homes, tasks, task: [account, accelerators, evictable], allowed }) => {
-    const books = createBooks(homes as Record<string, number>, tasks as unknown as Parameters<typeof createBooks>[1]);
-    expect(placement.staysReclaimable(books, { account, needs: NEEDS(accelerators), evictable })).toBe(allowed);
+    const worker = createWorker(
+        homes as Record<string, number>,
+        tasks as unknown as Parameters<typeof createWorker>[1],
+    );
+    expect(placement.staysReclaimable(worker, { account, needs: NEEDS(accelerators), evictable })).toBe(allowed);
 });
 
 function createTopology(racks: number, workersPerRack: number): configuration.Topology {
@@ -91,7 +109,8 @@
     zones: fc.constant<string[]>([]),
 });
 
-test("a plan gives no accelerator twice, keeps adjacency, and moves only what a lost worker held", () => {
+// Guards against overlapping homes, and against the loss of one worker reassigning homes on other workers.
+test("a plan is deterministic, assigns no accelerator twice, and without a lost worker moves at most one further block", () => {
     fc.assert(
         fc.property(
             fc.array(guaranteeArbitrary, { maxLength: 6 }),
--- a/src/placement/consolidate.ts
+++ b/src/placement/consolidate.ts
@@ -1,29 +1,35 @@
 /**
- * Moves that make a broken worker whole: its few tasks fit on other broken workers. With checkpoints a move costs a task
- * some seconds, and gives large jobs a whole worker that would otherwise be broken until the longest task on it ends.
+ * Finds moves that empty a partially used worker whose tasks fit on other partially used workers. With checkpoints a
+ * move costs a task some seconds and gives large jobs a fully free worker, which would otherwise become free only when
+ * its longest task ends.
  */
-import * as fleet from "./fleet";
+import * as fleetModule from "./fleet";
 import * as place from "./place";
 import * as request from "./request";
 
+/** A task to be moved from one worker to another. */
 export interface Move {
-    readonly task: fleet.BookedTask;
-    readonly from: fleet.WorkerBook;
-    readonly to: fleet.WorkerBook;
+    readonly task: fleetModule.PlacedTask;
+    readonly from: fleetModule.FleetWorker;
+    readonly to: fleetModule.FleetWorker;
 }
 
 export interface ConsolidateOptions {
-    /** Tasks expected to end sooner than this are not worth a move. Milliseconds. */
+    /** A worker expected to become free by itself in less than this time is not emptied. Milliseconds. */
     readonly minRemainingMs: number;
-    readonly isMovable: (task: fleet.BookedTask) => boolean;
-    readonly createRequest: (task: fleet.BookedTask) => request.PlaceRequest;
+    readonly isMovable: (task: fleetModule.PlacedTask) => boolean;
+    readonly createRequest: (task: fleetModule.PlacedTask) => request.PlaceRequest;
 }
 
-/** The moves that empty one worker, the one with the least on it; `undefined` when there is none. */
-export function findConsolidation(books: fleet.Fleet, options: ConsolidateOptions, now: number): Move[] | undefined {
-    for (let level = books.largestWorker - 1; level >= books.largestWorker / 2; level--) {
-        for (const worker of books.getWorkersWithFree(level)) {
-            const moves = worker.reservation ? undefined : emptyWorker(books, worker, options, now);
+/** The moves that empty the least used worker that can be emptied; `undefined` when there is none. */
+export function findConsolidation(
+    fleet: fleetModule.Fleet,
+    options: ConsolidateOptions,
+    now: number,
+): Move[] | undefined {
+    for (let level = fleet.largestWorker - 1; level >= fleet.largestWorker / 2; level--) {
+        for (const worker of fleet.getWorkersWithFree(level)) {
+            const moves = worker.reservation ? undefined : findMovesOff(fleet, worker, options, now);
             if (moves) {
                 return moves;
             }
@@ -32,44 +38,44 @@
     return undefined;
 }
 
-function emptyWorker(
-    books: fleet.Fleet,
-    worker: fleet.WorkerBook,
+function findMovesOff(
+    fleet: fleetModule.Fleet,
+    worker: fleetModule.FleetWorker,
     options: ConsolidateOptions,
     now: number,
 ): Move[] | undefined {
     const tasks = [...worker.tasks.values()];
-    const isWorthwhile = fleet.getFreeAt(worker, now) - now >= options.minRemainingMs;
+    const isWorthwhile = fleetModule.getFreeAt(worker, now) - now >= options.minRemainingMs;
     if (!isWorthwhile || !tasks.every(task => task.evictable && options.isMovable(task))) {
         return undefined;
     }
     const moves: Move[] = [];
-    const used = new Set<fleet.WorkerBook>([worker]);
+    const used = new Set<fleetModule.FleetWorker>([worker]);
     for (const task of tasks) {
-        const to = findTarget(books, task, used, options);
+        const to = findTarget(fleet, task, used, options);
         if (!to) {
             return undefined;
         }
-        // One task a target: the room left there after the first is not known to this search.
+        // One task per target: this search does not track what is free there after the first.
         used.add(to);
         moves.push({ task, from: worker, to });
     }
     return moves;
 }
 
-/** The fullest broken worker that has room. */
+/** The fullest partially used worker on which the task fits. */
 function findTarget(
-    books: fleet.Fleet,
-    task: fleet.BookedTask,
-    used: ReadonlySet<fleet.WorkerBook>,
+    fleet: fleetModule.Fleet,
+    task: fleetModule.PlacedTask,
+    used: ReadonlySet<fleetModule.FleetWorker>,
     options: ConsolidateOptions,
-): fleet.WorkerBook | undefined {
+): fleetModule.FleetWorker | undefined {
     const req = options.createRequest(task);
-    for (let level = task.needs.accelerators; level < books.largestWorker; level++) {
-        for (const worker of books.getWorkersWithFree(level)) {
-            const isBroken = worker.free.accelerators < worker.capacity.accelerators;
+    for (let level = task.needs.accelerators; level < fleet.largestWorker; level++) {
+        for (const worker of fleet.getWorkersWithFree(level)) {
+            const isPartlyUsed = worker.free.accelerators < worker.capacity.accelerators;
             if (
-                isBroken && !used.has(worker) && !worker.reservation
+                isPartlyUsed && !used.has(worker) && !worker.reservation
                 && place.isAllowed(worker, req, task.needs.accelerators)
             ) {
                 return worker;
--- a/src/placement/fleet.ts
+++ b/src/placement/fleet.ts
@@ -1,60 +1,67 @@
 /**
- * The books of the workers of a zone: what is free, whose homes lie where, and which tasks hold what.
+ * The allocation of the workers of a zone: free resources, the accounts' homes, and the resources of each task.
  *
- * Workers are indexed by their free accelerators, and racks by their wholly free workers, so that the cost of a decision
- * depends on the number of levels and not on the number of workers.
+ * Workers are indexed by their number of free accelerators, and each rack lists its fully free workers, so that the
+ * cost of a decision depends on the number of accelerators per worker and not on the number of workers.
  */
 import * as result from "../result/index";
 import * as needs from "./needs";
 
-export interface BookedTask {
+/** A task that holds resources of a worker. */
+export interface PlacedTask {
     readonly taskId: string;
     readonly jobId: string;
     readonly account: string;
     readonly needs: needs.Needs;
-    /** May be stopped with a checkpoint and continued later. */
+    /** Whether the task may be stopped with a checkpoint and resumed later. */
     readonly evictable: boolean;
-    /** Of a class that is never stopped for one without a guarantee. */
+    /** Whether the task's class is urgent; such tasks are never preempted for work beyond a guarantee. */
     readonly urgent: boolean;
-    /** Monotonic time at which it was placed. */
+    /** Monotonic time at which the task was placed. */
     readonly placedAt: number;
-    /** Monotonic time by which it is expected to end. */
+    /** Monotonic time by which the task is expected to end. */
     predictedEndAt: number;
 }
 
-export interface WorkerBook {
+/** The state of one worker. */
+export interface FleetWorker {
     readonly id: string;
-    readonly rack: RackBook;
-    /** What queued tasks may take: the worker's capacity less the reserve for interactive requests. */
+    readonly rack: FleetRack;
+    /** Resources for queued tasks: the worker's capacity minus the reserve for interactive requests. */
     readonly capacity: needs.Needs;
     free: needs.Needs;
-    /** Takes new tasks. */
+    /** Whether the worker takes new tasks. */
     usable: boolean;
-    /** Guaranteed accelerators by account. */
+    /** The accounts' homes on the worker: guaranteed accelerators by account. */
     readonly homes: Map<string, number>;
+    /** Sum of `homes`. */
     homeTotal: number;
-    readonly tasks: Map<string, BookedTask>;
-    /** The job that waits for this worker to become free, and when it expects that. */
+    /** The tasks on the worker, by task id. */
+    readonly tasks: Map<string, PlacedTask>;
+    /** Set while a job waits for this worker to become free. */
     reservation: Reservation | undefined;
 }
 
+/** A worker's reservation for a waiting job. */
 export interface Reservation {
     readonly jobId: string;
-    /** Monotonic time at which the job expects to start. */
+    /** Monotonic time at which the job is expected to start. */
     readonly startAt: number;
-    /** Work is being stopped for the job: nothing else may be placed here meanwhile. */
-    readonly firm: boolean;
+    /** Whether work is being stopped for the job; other tasks are then not placed here, not even short ones. */
+    readonly exclusive: boolean;
 }
 
-export interface RackBook {
+/** The workers of one rack. */
+export interface FleetRack {
     readonly id: string;
-    /** Position in the topology; racks of neighbouring positions are adjacent. */
+    /** Position in the topology; racks at consecutive positions are adjacent. */
     readonly index: number;
-    readonly workers: WorkerBook[];
+    readonly workers: FleetWorker[];
     /** Usable workers all of whose accelerators are free. */
-    readonly wholeFree: Set<WorkerBook>;
+    readonly fullyFreeWorkers: Set<FleetWorker>;
 }
 
+/** The location and capacity of a worker. */
 export interface WorkerShape {
     readonly id: string;
     readonly rackId: string;
@@ -62,83 +69,88 @@
     readonly capacity: needs.Needs;
 }
 
+/** The allocation of all workers of a zone. */
 export interface Fleet {
-    readonly workers: ReadonlyMap<string, WorkerBook>;
-    readonly racks: readonly RackBook[];
-    /** The most accelerators that one worker has. */
+    readonly workers: ReadonlyMap<string, FleetWorker>;
+    /** The racks, in the order of the topology. */
+    readonly racks: readonly FleetRack[];
+    /** Maximum number of accelerators of one worker. */
     readonly largestWorker: number;
     /** Usable workers with exactly this many free accelerators. */
-    getWorkersWithFree(accelerators: number): ReadonlySet<WorkerBook>;
-    addTask(workerId: string, task: BookedTask): void;
-    /** Returns whether the task was booked. */
+    getWorkersWithFree(accelerators: number): ReadonlySet<FleetWorker>;
+    /** Allocates a task's resources. The worker must be known, the task new, and its accelerators free. */
+    addTask(workerId: string, task: PlacedTask): void;
+    /** Frees a task's resources; returns false when the worker does not hold the task. */
     removeTask(workerId: string, taskId: string): boolean;
     setUsable(workerId: string, usable: boolean): void;
-    /** Replaces all homes. */
+    /** Replaces all homes; parts on unknown workers are ignored. */
     setHomes(
         parts: ReadonlyArray<{ readonly workerId: string; readonly account: string; readonly accelerators: number; }>,
     ): void;
     /** Workers that hold homes of the account. */
-    getHomeWorkers(account: string): readonly WorkerBook[];
+    getHomeWorkers(account: string): readonly FleetWorker[];
     /** Accelerators the account uses now. */
     getUse(account: string): number;
     /** Accelerators of the account's homes that its own tasks do not use. */
     getFreeGuaranteed(account: string): number;
-    /** The largest block of the account's homes that its own tasks leave free: whole workers of a rack, or part of one. */
+    /** The largest unused block of the account's homes: whole workers of one rack, or a part of one worker. */
     getLargestFreeGuaranteed(account: string): number;
+    /** Free accelerators of all usable workers. */
     getFreeAccelerators(): number;
-    /** Accelerators free in wholly free workers. */
-    getWholeFreeAccelerators(): number;
-    /** The most accelerators free in whole workers of one rack for which no job waits. */
+    /** Accelerators of fully free usable workers. */
+    getFullyFreeAccelerators(): number;
+    /** Maximum over the racks of the accelerators of fully free workers without a reservation. */
     getLargestFreeBlock(): number;
-    /** The most accelerators free on a worker that others are in use on. */
+    /** Maximum number of free accelerators on a partially used worker without a reservation. */
     getLargestHole(): number;
 }
 
+/** Creates a fleet of idle, usable workers. */
 export function createFleet(shapes: readonly WorkerShape[]): Fleet {
-    const racks = new Map<string, RackBook>();
-    const workers = new Map<string, WorkerBook>();
-    const levels: Array<Set<WorkerBook>> = [];
-    const homeWorkers = new Map<string, WorkerBook[]>();
+    const racks = new Map<string, FleetRack>();
+    const workers = new Map<string, FleetWorker>();
+    const workersByFree: Array<Set<FleetWorker>> = [];
+    const homeWorkers = new Map<string, FleetWorker[]>();
     const useByAccount = new Map<string, number>();
     const largestWorker = shapes.reduce((largest, shape) => Math.max(largest, shape.capacity.accelerators), 0);
     let freeAccelerators = 0;
-    let wholeFreeAccelerators = 0;
+    let fullyFreeAccelerators = 0;
 
     for (let level = 0; level <= largestWorker; level++) {
-        levels.push(new Set());
+        workersByFree.push(new Set());
     }
 
-    const enterIndex = (worker: WorkerBook) => {
+    const addToIndex = (worker: FleetWorker) => {
         if (!worker.usable) {
             return;
         }
-        levels[worker.free.accelerators]!.add(worker);
+        workersByFree[worker.free.accelerators]!.add(worker);
         freeAccelerators += worker.free.accelerators;
         if (isWhole(worker)) {
-            worker.rack.wholeFree.add(worker);
-            wholeFreeAccelerators += worker.free.accelerators;
+            worker.rack.fullyFreeWorkers.add(worker);
+            fullyFreeAccelerators += worker.free.accelerators;
         }
     };
 
-    const leaveIndex = (worker: WorkerBook) => {
+    const removeFromIndex = (worker: FleetWorker) => {
         if (!worker.usable) {
             return;
         }
-        levels[worker.free.accelerators]!.delete(worker);
+        workersByFree[worker.free.accelerators]!.delete(worker);
         freeAccelerators -= worker.free.accelerators;
         if (isWhole(worker)) {
-            worker.rack.wholeFree.delete(worker);
-            wholeFreeAccelerators -= worker.free.accelerators;
+            worker.rack.fullyFreeWorkers.delete(worker);
+            fullyFreeAccelerators -= worker.free.accelerators;
         }
     };
 
-    const change = (worker: WorkerBook, apply: () => void) => {
-        leaveIndex(worker);
+    const updateWorker = (worker: FleetWorker, apply: () => void) => {
+        removeFromIndex(worker);
         apply();
-        enterIndex(worker);
+        addToIndex(worker);
     };
 
-    const getWorker = (workerId: string): WorkerBook => {
+    const getWorker = (workerId: string): FleetWorker => {
         const worker = workers.get(workerId);
         result.invariant(worker, result.InvariantCode.UnknownWorker, workerId);
         return worker;
@@ -150,9 +162,9 @@
 
     for (const shape of shapes) {
         const rack = racks.get(shape.rackId)
-            ?? { id: shape.rackId, index: shape.rackIndex, workers: [], wholeFree: new Set<WorkerBook>() };
+            ?? { id: shape.rackId, index: shape.rackIndex, workers: [], fullyFreeWorkers: new Set<FleetWorker>() };
         racks.set(shape.rackId, rack);
-        const worker: WorkerBook = {
+        const worker: FleetWorker = {
             id: shape.id,
             rack,
             capacity: shape.capacity,
@@ -165,18 +177,18 @@
         };
         rack.workers.push(worker);
         workers.set(shape.id, worker);
-        enterIndex(worker);
+        addToIndex(worker);
     }
 
     return {
         workers,
         racks: [...racks.values()].sort((a, b) => a.index - b.index),
         largestWorker,
-        getWorkersWithFree: accelerators => levels[accelerators] ?? EMPTY,
+        getWorkersWithFree: accelerators => workersByFree[accelerators] ?? NO_WORKERS,
         addTask: (workerId, task) => {
             const worker = getWorker(workerId);
             result.invariant(!worker.tasks.has(task.taskId), result.InvariantCode.AcceleratorTwice, task.taskId);
-            change(worker, () => {
+            updateWorker(worker, () => {
                 worker.tasks.set(task.taskId, task);
                 worker.free = needs.subtractNeeds(worker.free, task.needs);
             });
@@ -193,7 +205,7 @@
             if (!task) {
                 return false;
             }
-            change(worker, () => {
+            updateWorker(worker, () => {
                 worker.tasks.delete(taskId);
                 worker.free = needs.addNeeds(worker.free, task.needs);
             });
@@ -202,7 +214,7 @@
         },
         setUsable: (workerId, usable) => {
             const worker = getWorker(workerId);
-            change(worker, () => {
+            updateWorker(worker, () => {
                 worker.usable = usable;
             });
         },
@@ -235,7 +247,7 @@
             return free;
         },
         getLargestFreeGuaranteed: account => {
-            const wholeByRack = new Map<RackBook, number>();
+            const wholeByRack = new Map<FleetRack, number>();
             let largest = 0;
             for (const worker of homeWorkers.get(account) ?? []) {
                 const free = worker.usable ? getFreeHome(worker, account) : 0;
@@ -247,12 +259,12 @@
             return largest;
         },
         getFreeAccelerators: () => freeAccelerators,
-        getWholeFreeAccelerators: () => wholeFreeAccelerators,
+        getFullyFreeAccelerators: () => fullyFreeAccelerators,
         getLargestFreeBlock: () => {
             let largest = 0;
             for (const rack of racks.values()) {
                 let block = 0;
-                for (const worker of rack.wholeFree) {
+                for (const worker of rack.fullyFreeWorkers) {
                     block += worker.reservation ? 0 : worker.free.accelerators;
                 }
                 largest = Math.max(largest, block);
@@ -261,7 +273,7 @@
         },
         getLargestHole: () => {
             for (let level = largestWorker - 1; level > 0; level--) {
-                for (const worker of levels[level]!) {
+                for (const worker of workersByFree[level]!) {
                     if (!isWhole(worker) && !worker.reservation && worker.free.slots > 0) {
                         return level;
                     }
@@ -272,23 +284,24 @@
     };
 }
 
-const EMPTY: ReadonlySet<WorkerBook> = new Set();
+const NO_WORKERS: ReadonlySet<FleetWorker> = new Set();
 
 /** Whether all accelerators of the worker are free. */
-export function isWhole(worker: WorkerBook): boolean {
+export function isWhole(worker: FleetWorker): boolean {
     return worker.free.accelerators === worker.capacity.accelerators && worker.capacity.accelerators > 0;
 }
 
 /**
- * When a task is expected to end: as predicted, or, once it has overrun, after half as long again as it has run. Taking an
- * overrun task for about to end would plan reservations for a moment that never comes.
+ * Monotonic time at which a task is expected to end: as predicted or, once it has overrun, after half the time that it
+ * has run so far. Expecting an overrun task to end at once would keep setting reservations to a start time that is not
+ * met.
  */
-export function getExpectedEnd(task: BookedTask, now: number): number {
+export function getExpectedEnd(task: PlacedTask, now: number): number {
     return task.predictedEndAt > now ? task.predictedEndAt : now + (now - task.placedAt) / 2;
 }
 
-/** When all tasks of the worker are expected to have ended. */
-export function getFreeAt(worker: WorkerBook, now: number): number {
+/** Monotonic time at which all tasks of the worker are expected to have ended. */
+export function getFreeAt(worker: FleetWorker, now: number): number {
     let freeAt = now;
     for (const task of worker.tasks.values()) {
         freeAt = Math.max(freeAt, getExpectedEnd(task, now));
@@ -297,11 +310,12 @@
 }
 
 /** Accelerators of the account's home on the worker that its own tasks do not use. */
-export function getFreeHome(worker: WorkerBook, account: string): number {
+export function getFreeHome(worker: FleetWorker, account: string): number {
     return Math.max(0, (worker.homes.get(account) ?? 0) - getAccountUse(worker, account));
 }
 
-export function getAccountUse(worker: WorkerBook, account: string): number {
+/** Accelerators that the account's tasks use on the worker. */
+export function getAccountUse(worker: FleetWorker, account: string): number {
     let used = 0;
     for (const task of worker.tasks.values()) {
         used += task.account === account ? task.needs.accelerators : 0;
--- a/src/placement/fragmentation.ts
+++ b/src/placement/fragmentation.ts
@@ -1,4 +1,4 @@
-/** The measure of fragmentation: 1 − accelerators free in whole workers ÷ all free accelerators; 0 when none is free. */
-export function getFragmentation(freeAccelerators: number, wholeFreeAccelerators: number): number {
-    return freeAccelerators === 0 ? 0 : 1 - wholeFreeAccelerators / freeAccelerators;
+/** Fragmentation: 1 − accelerators of fully free workers ÷ all free accelerators; 0 when no accelerator is free. */
+export function getFragmentation(freeAccelerators: number, fullyFreeAccelerators: number): number {
+    return freeAccelerators === 0 ? 0 : 1 - fullyFreeAccelerators / freeAccelerators;
 }
--- a/src/placement/index.ts
+++ b/src/placement/index.ts
@@ -1,4 +1,4 @@
-/** Placement: the guarantee plan, the books of the workers, and where a job may run. */
+/** Placement: the guarantee plan, the allocation of the workers of a zone, and the search for places for jobs. */
 export { findConsolidation, type Move } from "./consolidate";
 export { type Eviction, findPreemption, findReclaim } from "./evict";
 export * from "./fleet";
@@ -6,6 +6,6 @@
 export * from "./needs";
 export { canEverFit, findPlace, isAllowed } from "./place";
 export { type Block, createPlan, describeUnplaced, type HomePart, type Plan } from "./plan";
-export { type ReclaimBooks, staysReclaimable } from "./reclaim";
+export { staysReclaimable, type WorkerAllocation } from "./reclaim";
 export * from "./request";
 export { clearReservation, findReservation, type ReservedPlace, setReservation } from "./reservation";
--- a/src/placement/needs.ts
+++ b/src/placement/needs.ts
@@ -1,6 +1,7 @@
-/** Arithmetic on what tasks take and workers have. */
+/** Arithmetic on the resources that tasks need and workers have. */
 import type * as workers from "../workers/index";
 
+/** Amounts of each resource: needed by a task, or of a worker's capacity. */
 export type Needs = workers.TaskNeeds;
 
 export const NO_NEEDS: Needs = { accelerators: 0, slots: 0, cpus: 0, memoryMb: 0 };
@@ -32,10 +33,10 @@
     };
 }
 
-/** Whether `needs` lies within `room` in every dimension. */
-export function fitsWithin(needs: Needs, room: Needs): boolean {
-    return needs.accelerators <= room.accelerators
-        && needs.slots <= room.slots
-        && needs.cpus <= room.cpus
-        && needs.memoryMb <= room.memoryMb;
+/** Whether `needs` does not exceed `available` for any resource. */
+export function fitsWithin(needs: Needs, available: Needs): boolean {
+    return needs.accelerators <= available.accelerators
+        && needs.slots <= available.slots
+        && needs.cpus <= available.cpus
+        && needs.memoryMb <= available.memoryMb;
 }
--- a/src/placement/place.ts
+++ b/src/placement/place.ts
@@ -1,38 +1,38 @@
-/** Finds workers for one job among what is free now. */
+/** Finds workers with enough free resources for a job. */
 import type * as configuration from "../configuration/index";
-import * as fleet from "./fleet";
+import * as fleetModule from "./fleet";
 import * as needs from "./needs";
 import * as reclaim from "./reclaim";
 import * as request from "./request";
 
-/** How many workers of one level of free accelerators are weighed before the best of them is taken. */
-const PROBES_PER_LEVEL = 12;
+/** Maximum number of suitable workers compared among those with the same number of free accelerators. */
+const MAX_CANDIDATES_PER_LEVEL = 12;
 
-/** The members' places, or `undefined` when the job does not fit now. */
+/** The placement of the job's members under the policy, or `undefined` when the job does not fit now. */
 export function findPlace(
-    books: fleet.Fleet,
+    fleet: fleetModule.Fleet,
     req: request.PlaceRequest,
     policy: configuration.Policy,
     now: number,
 ): request.Member[] | undefined {
-    if (req.accelerators <= books.largestWorker) {
-        const worker = findWorker(books, req, policy, now);
+    if (req.accelerators <= fleet.largestWorker) {
+        const worker = findWorker(fleet, req, policy, now);
         return worker && [request.createMember(req, worker, req.accelerators)];
     }
     switch (req.adjacency) {
         case "worker":
             return undefined;
         case "rack":
-            return findInRack(books, req);
+            return findInRack(fleet, req);
         case "adjacentRacks":
-            return findInRack(books, req) ?? findInAdjacentRacks(books, req);
+            return findInRack(fleet, req) ?? findInAdjacentRacks(fleet, req);
         case "any":
-            return findInRack(books, req) ?? findAnywhere(books, req);
+            return findInRack(fleet, req) ?? findAnywhere(fleet, req);
     }
 }
 
-/** Whether this many accelerators of the job may be put on the worker now. */
-export function isAllowed(worker: fleet.WorkerBook, req: request.PlaceRequest, accelerators: number): boolean {
+/** Whether a member of the job with this many accelerators may be placed on the worker now. */
+export function isAllowed(worker: fleetModule.FleetWorker, req: request.PlaceRequest, accelerators: number): boolean {
     const memberNeeds = request.getMemberNeeds(req, accelerators);
     return worker.usable
         && needs.fitsWithin(memberNeeds, worker.free)
@@ -42,35 +42,35 @@
 }
 
 /**
- * Backfilling: on a worker that a large job waits for, another job may run only if it is expected to end before the
- * large one starts, and only if it can be stopped in case it does not. Otherwise a stream of small jobs would keep the
- * large one waiting for ever; one would notice it by the age of the oldest waiting job.
+ * Backfilling: on a worker that is reserved for a large job, another job may run only if it is expected to end before
+ * the large one starts, and if it can be stopped in case it does not. Otherwise a stream of small jobs could starve the
+ * large one, and the age of the oldest waiting job would keep growing.
  */
-function respectsReservation(worker: fleet.WorkerBook, req: request.PlaceRequest): boolean {
+function respectsReservation(worker: fleetModule.FleetWorker, req: request.PlaceRequest): boolean {
     const { reservation } = worker;
     return !reservation
         || reservation.jobId === req.jobId
-        || (!reservation.firm && req.evictable && req.predictedEndAt <= reservation.startAt);
+        || (!reservation.exclusive && req.evictable && req.predictedEndAt <= reservation.startAt);
 }
 
 function findWorker(
-    books: fleet.Fleet,
+    fleet: fleetModule.Fleet,
     req: request.PlaceRequest,
     policy: configuration.Policy,
     now: number,
-): fleet.WorkerBook | undefined {
+): fleetModule.FleetWorker | undefined {
     switch (policy.kind) {
         case "fifoFirstFit":
-            return findFirst(books, req);
+            return findFirst(fleet, req);
         case "bestFit":
-            return findBest(books, req, () => 0);
+            return findBest(fleet, req, () => 0);
         case "guaranteed":
-            return findBest(books, req, worker => getCost(worker, req, policy, now));
+            return findBest(fleet, req, worker => getCost(worker, req, policy, now));
     }
 }
 
-function findFirst(books: fleet.Fleet, req: request.PlaceRequest): fleet.WorkerBook | undefined {
-    for (const rack of books.racks) {
+function findFirst(fleet: fleetModule.Fleet, req: request.PlaceRequest): fleetModule.FleetWorker | undefined {
+    for (const rack of fleet.racks) {
         for (const worker of rack.workers) {
             if (isAllowed(worker, req, req.accelerators)) {
                 return worker;
@@ -80,24 +80,24 @@
     return undefined;
 }
 
-/** The cheapest worker among those with the fewest free accelerators that suffice. */
+/** Best fit: the cheapest of the workers with the fewest free accelerators that suffice. */
 function findBest(
-    books: fleet.Fleet,
+    fleet: fleetModule.Fleet,
     req: request.PlaceRequest,
-    getWorkerCost: (worker: fleet.WorkerBook) => number,
-): fleet.WorkerBook | undefined {
-    for (let level = req.accelerators; level <= books.largestWorker; level++) {
-        let best: fleet.WorkerBook | undefined;
+    getWorkerCost: (worker: fleetModule.FleetWorker) => number,
+): fleetModule.FleetWorker | undefined {
+    for (let level = req.accelerators; level <= fleet.largestWorker; level++) {
+        let best: fleetModule.FleetWorker | undefined;
         let bestCost = Infinity;
-        let probes = 0;
-        for (const worker of books.getWorkersWithFree(level)) {
-            if (probes === PROBES_PER_LEVEL) {
+        let candidateCount = 0;
+        for (const worker of fleet.getWorkersWithFree(level)) {
+            if (candidateCount === MAX_CANDIDATES_PER_LEVEL) {
                 break;
             }
             if (!isAllowed(worker, req, req.accelerators)) {
                 continue;
             }
-            probes++;
+            candidateCount++;
             const cost = getWorkerCost(worker);
             if (cost < bestCost) {
                 best = worker;
@@ -112,36 +112,40 @@
 }
 
 /**
- * What placing the job here costs large jobs later and other accounts now: the time by which it puts off the moment the
- * whole worker is free, whether it breaks a whole worker in a rack of whole ones, and whether it borrows from a home.
+ * The cost of placing the job on the worker for later large jobs and for other accounts, a weighted sum of:
+ * - the delay of the time at which the worker is fully free, relative to the job's run time;
+ * - the share of fully free workers in the rack, if the job uses one of them;
+ * - the share of the job's accelerators that are borrowed from other accounts' homes.
  */
 function getCost(
-    worker: fleet.WorkerBook,
+    worker: fleetModule.FleetWorker,
     req: request.PlaceRequest,
     policy: Extract<configuration.Policy, { kind: "guaranteed"; }>,
     now: number,
 ): number {
-    const freeAt = fleet.getFreeAt(worker, now);
-    const runsFor = Math.max(1, req.predictedEndAt - now);
-    const putOff = Math.max(0, req.predictedEndAt - freeAt) / runsFor;
-    const breaksRack = fleet.isWhole(worker) ? worker.rack.wholeFree.size / worker.rack.workers.length : 0;
-    const foreignHome = worker.homeTotal - (worker.homes.get(req.account) ?? 0);
-    const borrowed = Math.max(0, req.accelerators - Math.max(0, worker.free.accelerators - foreignHome));
-    return policy.fragmentationWeight * (putOff + breaksRack)
+    const freeAt = fleetModule.getFreeAt(worker, now);
+    const runMs = Math.max(1, req.predictedEndAt - now);
+    const delay = Math.max(0, req.predictedEndAt - freeAt) / runMs;
+    const fragmentsRack = fleetModule.isWhole(worker)
+        ? worker.rack.fullyFreeWorkers.size / worker.rack.workers.length
+        : 0;
+    const otherHomes = worker.homeTotal - (worker.homes.get(req.account) ?? 0);
+    const borrowed = Math.max(0, req.accelerators - Math.max(0, worker.free.accelerators - otherHomes));
+    return policy.fragmentationWeight * (delay + fragmentsRack)
         + policy.completionWeight * borrowed / Math.max(1, req.accelerators);
 }
 
-/** Members of whole workers, the rest on one further worker, in the rack with the fewest whole workers to spare. */
-function findInRack(books: fleet.Fleet, req: request.PlaceRequest): request.Member[] | undefined {
+/** Places the job on fully free workers of the rack that keeps the fewest of them, the remainder on one more worker. */
+function findInRack(fleet: fleetModule.Fleet, req: request.PlaceRequest): request.Member[] | undefined {
     let best: request.Member[] | undefined;
     let bestSpare = Infinity;
-    const wholeWorkers = Math.floor(req.accelerators / books.largestWorker);
-    for (const rack of books.racks) {
-        const spare = rack.wholeFree.size - wholeWorkers;
+    const wholeWorkers = Math.floor(req.accelerators / fleet.largestWorker);
+    for (const rack of fleet.racks) {
+        const spare = rack.fullyFreeWorkers.size - wholeWorkers;
         if (spare < 0 || spare >= bestSpare) {
             continue;
         }
-        const members = fillWorkers(books, req, rack.workers);
+        const members = fillWorkers(fleet, req, rack.workers);
         if (members) {
             best = members;
             bestSpare = spare;
@@ -150,11 +154,11 @@
     return best;
 }
 
-function findInAdjacentRacks(books: fleet.Fleet, req: request.PlaceRequest): request.Member[] | undefined {
-    for (let count = 2; count <= books.racks.length; count++) {
-        for (let first = 0; first + count <= books.racks.length; first++) {
-            const racks = books.racks.slice(first, first + count);
-            const members = fillWorkers(books, req, racks.flatMap(rack => rack.workers));
+function findInAdjacentRacks(fleet: fleetModule.Fleet, req: request.PlaceRequest): request.Member[] | undefined {
+    for (let count = 2; count <= fleet.racks.length; count++) {
+        for (let first = 0; first + count <= fleet.racks.length; first++) {
+            const racks = fleet.racks.slice(first, first + count);
+            const members = fillWorkers(fleet, req, racks.flatMap(rack => rack.workers));
             if (members) {
                 return members;
             }
@@ -163,21 +167,25 @@
     return undefined;
 }
 
-/** Fills whole workers first, own homes and unreserved ones before others' homes, then one worker for the rest. */
+/**
+ * Takes fully free workers first, those with the smallest homes of other accounts before others, then one for the rest.
+ */
 function fillWorkers(
-    books: fleet.Fleet,
+    fleet: fleetModule.Fleet,
     req: request.PlaceRequest,
-    workers: readonly fleet.WorkerBook[],
+    workers: readonly fleetModule.FleetWorker[],
 ): request.Member[] | undefined {
-    const size = books.largestWorker;
-    const whole = workers.filter(worker => worker.capacity.accelerators === size && isAllowed(worker, req, size));
+    const size = fleet.largestWorker;
+    const fullyFreeWorkers = workers.filter(worker =>
+        worker.capacity.accelerators === size && isAllowed(worker, req, size)
+    );
     const count = Math.floor(req.accelerators / size);
     const rest = req.accelerators % size;
-    if (whole.length < count) {
+    if (fullyFreeWorkers.length < count) {
         return undefined;
     }
-    const getForeign = (worker: fleet.WorkerBook) => worker.homeTotal - (worker.homes.get(req.account) ?? 0);
-    const chosen = whole.sort((a, b) => getForeign(a) - getForeign(b)).slice(0, count);
+    const getOtherHomes = (worker: fleetModule.FleetWorker) => worker.homeTotal - (worker.homes.get(req.account) ?? 0);
+    const chosen = fullyFreeWorkers.sort((a, b) => getOtherHomes(a) - getOtherHomes(b)).slice(0, count);
     const members = chosen.map(worker => request.createMember(req, worker, size));
     if (rest === 0) {
         return members;
@@ -189,12 +197,12 @@
     return last && [...members, request.createMember(req, last, rest)];
 }
 
-/** Any workers, the most broken first: for gangs that do not mind where they run. */
-function findAnywhere(books: fleet.Fleet, req: request.PlaceRequest): request.Member[] | undefined {
+/** Takes any workers, those with the fewest free accelerators first; for gangs without an adjacency requirement. */
+function findAnywhere(fleet: fleetModule.Fleet, req: request.PlaceRequest): request.Member[] | undefined {
     const members: request.Member[] = [];
     let left = req.accelerators;
-    for (let level = 1; level <= books.largestWorker && left > 0; level++) {
-        for (const worker of books.getWorkersWithFree(level)) {
+    for (let level = 1; level <= fleet.largestWorker && left > 0; level++) {
+        for (const worker of fleet.getWorkersWithFree(level)) {
             const accelerators = Math.min(left, level);
             if (isAllowed(worker, req, accelerators)) {
                 members.push(request.createMember(req, worker, accelerators));
@@ -208,9 +216,9 @@
     return undefined;
 }
 
-/** Whether the job could ever be placed if the whole fleet were free and healthy. */
-export function canEverFit(shapes: readonly fleet.WorkerShape[], req: request.PlaceRequest): boolean {
-    const empty = fleet.createFleet(shapes);
+/** Whether the job could be placed if all workers were free and healthy. */
+export function canEverFit(shapes: readonly fleetModule.WorkerShape[], req: request.PlaceRequest): boolean {
+    const empty = fleetModule.createFleet(shapes);
     const unrestricted = { ...req, evictable: true, excludedWorkers: new Set<string>() };
     return findPlace(empty, unrestricted, { kind: "bestFit" }, 0) !== undefined;
 }
--- a/src/placement/plan.ts
+++ b/src/placement/plan.ts
@@ -1,16 +1,17 @@
 /**
- * The guarantee plan: a home on workers for each block that a preset guarantees.
+ * The guarantee plan: assigns each block that a preset guarantees to accelerators of specific workers, the block's
+ * home.
  *
- * It is a pure function of the preset, the topology and the set of unavailable workers, so that every instance computes
- * the same one. Ties are broken by rendezvous hashing of block and worker, so that a worker that leaves moves the homes
- * it held and few others.
+ * The plan is a pure function of the preset, the topology and the set of unavailable workers, so that all instances
+ * compute the same one. Ties are broken by rendezvous hashing of block and worker, so that the loss of a worker moves
+ * the homes on it and few others.
  */
 import type * as configuration from "../configuration/index";
 import * as ownership from "../ownership/rendezvous";
 
-/** One guaranteed block. */
+/** A guaranteed number of accelerators that must be available together. */
 export interface Block {
-    /** `account/guarantee/number`, stable between revisions that leave the guarantee alone. */
+    /** `account/guarantee index/block number`; stable while the guarantee keeps its position in the preset. */
     readonly id: string;
     readonly account: string;
     readonly accelerators: number;
@@ -18,6 +19,7 @@
     readonly zones: readonly string[];
 }
 
+/** The part of a block's home that lies on one worker. */
 export interface HomePart {
     readonly blockId: string;
     readonly account: string;
@@ -25,6 +27,7 @@
     readonly accelerators: number;
 }
 
+/** Where each guaranteed block has its home. */
 export interface Plan {
     readonly parts: readonly HomePart[];
     /** Blocks for which no home was found. */
@@ -39,7 +42,7 @@
     free: number;
 }
 
-/** `unavailable` are workers that are lost or set aside; spares take over their homes. */
+/** Computes the plan. `unavailable` holds the workers that are lost or quarantined; spares take over their homes. */
 export function createPlan(
     preset: configuration.Preset,
     topology: configuration.Topology,
@@ -62,7 +65,7 @@
     return { parts, unplaced };
 }
 
-/** One line for an operator: which account, which block, and why it has no home. */
+/** Describes an unplaced block for operators, on one line. */
 export function describeUnplaced(preset: configuration.Preset, block: Block): string {
     const where = block.zones.length > 0 ? ` in ${block.zones.join(", ")}` : "";
     const spares = preset.spareWorkersPerZone > 0 ? ` beside ${preset.spareWorkersPerZone} spare worker(s) a zone` : "";
@@ -70,7 +73,7 @@
         + `${block.accelerators} accelerators (adjacency ${block.adjacency})${spares}`;
 }
 
-/** Largest first: small blocks fit into what is left, large ones would not. */
+/** All blocks of the preset, the largest first: small ones fit into the remaining space, large ones might not. */
 function getBlocks(preset: configuration.Preset): Block[] {
     const blocks = preset.guarantees.flatMap((guarantee, index) =>
         Array.from({ length: guarantee.blocks }, (_, number): Block => ({
@@ -107,14 +110,14 @@
                 : []
         );
         const usable = all.filter(worker => !drained.has(worker.id));
-        const alive = usable.filter(worker => !unavailable.has(worker.id));
-        const sparesLeft = Math.max(0, preset.spareWorkersPerZone - (usable.length - alive.length));
-        // Spares are taken from the smallest racks, so that the large ones stay whole for large blocks.
-        const ranked = [...alive].sort((a, b) =>
+        const available = usable.filter(worker => !unavailable.has(worker.id));
+        const sparesLeft = Math.max(0, preset.spareWorkersPerZone - (usable.length - available.length));
+        // Spares are taken from the smallest racks, so that the larger racks remain available to large blocks.
+        const ranked = [...available].sort((a, b) =>
             a.rackSize - b.rackSize || ownership.getWeight("spare", b.id) - ownership.getWeight("spare", a.id)
         );
         const spares = new Set(ranked.slice(0, sparesLeft).map(worker => worker.id));
-        for (const worker of alive) {
+        for (const worker of available) {
             if (!spares.has(worker.id)) {
                 const { id, rackIndex, size } = worker;
                 bins.push({ workerId: id, rackIndex, zone, size, free: size });
@@ -150,7 +153,10 @@
     }
 }
 
-/** The fullest worker with room; among equals, one of the rack that is first by rendezvous, and there the first worker. */
+/**
+ * Best fit: a worker with the fewest free accelerators that suffice. Among equals, rendezvous hashing chooses the rack
+ * and then the worker.
+ */
 function findInWorker(block: Block, bins: readonly Bin[]): Piece[] | undefined {
     let fullest = Infinity;
     let candidates: Bin[] = [];
@@ -164,18 +170,18 @@
         }
         candidates.push(bin);
     }
-    const rack = pickHeaviest(
+    const rack = pickHighestWeight(
         [...new Set(candidates.map(bin => bin.rackIndex))],
         index => ownership.getWeight(block.id, `rack ${index}`),
     );
-    const best = pickHeaviest(
+    const best = pickHighestWeight(
         candidates.filter(bin => bin.rackIndex === rack),
         bin => ownership.getWeight(block.id, bin.workerId),
     );
     return best && [{ bin: best, accelerators: block.accelerators }];
 }
 
-function pickHeaviest<T>(items: readonly T[], getWeight: (item: T) => number): T | undefined {
+function pickHighestWeight<T>(items: readonly T[], getWeight: (item: T) => number): T | undefined {
     let best: T | undefined;
     let bestWeight = -1;
     for (const item of items) {
@@ -188,7 +194,7 @@
     return best;
 }
 
-/** Whole workers of the group that has the fewest to spare; the rest of the block on one further worker. */
+/** Uses the group with the fewest fully free workers: whole workers, and one more for the remainder of the block. */
 function findInGroup(block: Block, groups: readonly Bin[][]): Piece[] | undefined {
     const candidates = groups
         .map(group => ({ pieces: fillGroup(block, group), whole: group.filter(bin => bin.free === bin.size).length }))
--- a/src/placement/reclaim.ts
+++ b/src/placement/reclaim.ts
@@ -1,47 +1,50 @@
 /**
- * The check that keeps every guarantee reclaimable.
+ * The check that keeps every guarantee reclaimable: on each worker, non-evictable tasks may exceed their account's home
+ * only within the resources that are not part of any home.
  *
- * What goes wrong without it: a task that cannot be stopped without losing work for good is placed on accelerators that
- * are another account's home. When that account wants its guaranteed shape, the task is in the way for as long as it
- * runs; one notices it by `reclaim` times above the grace. The rule: on each worker, tasks that cannot be evicted may
- * exceed their account's own home only within what is nobody's home, in every dimension.
+ * Without it, a task that cannot be stopped without losing work could be placed on another account's home and block
+ * that account's guaranteed placement for as long as it runs. This would show as `reclaim` times above the grace
+ * period.
  */
-import type * as fleet from "./fleet";
+import type * as fleetModule from "./fleet";
 import * as needs from "./needs";
 
-/** What the check needs of a worker; the scheduler's books and a rack owner's books both have it. */
-export interface ReclaimBooks {
+/** The properties of a worker that the check uses. */
+export interface WorkerAllocation {
     readonly capacity: needs.Needs;
     readonly homes: ReadonlyMap<string, number>;
     readonly homeTotal: number;
-    readonly tasks: ReadonlyMap<string, Pick<fleet.BookedTask, "account" | "needs" | "evictable">>;
+    readonly tasks: ReadonlyMap<string, Pick<fleetModule.PlacedTask, "account" | "needs" | "evictable">>;
 }
 
-/** Whether every account could still reclaim its homes on the worker if this task ran there. */
+/** Whether every account could still reclaim its homes on the worker if the task were placed there. */
 export function staysReclaimable(
-    worker: ReclaimBooks,
-    task: Pick<fleet.BookedTask, "account" | "needs" | "evictable">,
+    worker: WorkerAllocation,
+    task: Pick<fleetModule.PlacedTask, "account" | "needs" | "evictable">,
 ): boolean {
     if (task.evictable || worker.homeTotal === 0) {
         return true;
     }
-    const hardUse = new Map<string, needs.Needs>([[task.account, task.needs]]);
+    const nonEvictableUse = new Map<string, needs.Needs>([[task.account, task.needs]]);
     for (const booked of worker.tasks.values()) {
         if (!booked.evictable) {
-            hardUse.set(booked.account, needs.addNeeds(hardUse.get(booked.account) ?? needs.NO_NEEDS, booked.needs));
+            nonEvictableUse.set(
+                booked.account,
+                needs.addNeeds(nonEvictableUse.get(booked.account) ?? needs.NO_NEEDS, booked.needs),
+            );
         }
     }
     let beyondHomes = needs.NO_NEEDS;
-    for (const [account, used] of hardUse) {
+    for (const [account, used] of nonEvictableUse) {
         const home = getHomeShare(worker, worker.homes.get(account) ?? 0);
         beyondHomes = needs.addNeeds(beyondHomes, getExcess(used, home));
     }
-    const unreserved = needs.subtractNeeds(worker.capacity, getHomeShare(worker, worker.homeTotal));
-    return needs.fitsWithin(beyondHomes, unreserved);
+    const unguaranteed = needs.subtractNeeds(worker.capacity, getHomeShare(worker, worker.homeTotal));
+    return needs.fitsWithin(beyondHomes, unguaranteed);
 }
 
-/** A home of some of the accelerators comes with the same share of the other dimensions. */
-function getHomeShare(worker: ReclaimBooks, accelerators: number): needs.Needs {
+/** The resources of a home: the same share of each resource as of the worker's accelerators. */
+function getHomeShare(worker: WorkerAllocation, accelerators: number): needs.Needs {
     return needs.scaleNeeds(worker.capacity, accelerators / Math.max(1, worker.capacity.accelerators));
 }
 
--- a/src/placement/request.ts
+++ b/src/placement/request.ts
@@ -1,20 +1,21 @@
-/** What a job asks of the fleet, and the place it gets. */
+/** Placement requests of jobs, and the members of a placement. */
 import type * as configuration from "../configuration/index";
-import type * as fleet from "./fleet";
+import type * as fleetModule from "./fleet";
 import * as needs from "./needs";
 
+/** What a job needs of the workers. */
 export interface PlaceRequest {
     readonly jobId: string;
     readonly account: string;
     readonly accelerators: number;
     readonly adjacency: configuration.Adjacency;
-    /** Processors and memory for each accelerator, or for the whole task when it takes none. */
+    /** CPUs and memory per accelerator, or for the whole task when it uses none. */
     readonly cpusPerAccelerator: number;
     readonly memoryMbPerAccelerator: number;
     readonly evictable: boolean;
     /** Monotonic time by which the job is expected to end if it starts now. */
     readonly predictedEndAt: number;
-    /** Workers this job failed on, which it does not return to. */
+    /** Workers on which the job must not be placed, since it failed there. */
     readonly excludedWorkers: ReadonlySet<string>;
 }
 
@@ -25,6 +26,7 @@
     readonly needs: needs.Needs;
 }
 
+/** The resources of a member with this many accelerators. */
 export function getMemberNeeds(req: PlaceRequest, accelerators: number): needs.Needs {
     const units = Math.max(1, accelerators);
     return {
@@ -35,6 +37,7 @@
     };
 }
 
-export function createMember(req: PlaceRequest, worker: fleet.WorkerBook, accelerators: number): Member {
+/** Creates the member of a placement that runs on the worker. */
+export function createMember(req: PlaceRequest, worker: fleetModule.FleetWorker, accelerators: number): Member {
     return { workerId: worker.id, rackId: worker.rack.id, needs: getMemberNeeds(req, accelerators) };
 }
--- a/src/placement/reservation.ts
+++ b/src/placement/reservation.ts
@@ -1,24 +1,29 @@
 /**
- * Reservations for large jobs that wait (EASY backfilling, Lifka 1995, with predicted in place of declared times,
- * Tsafrir 2007): the workers that are expected to be free first are kept for the job, and only work that is expected to
- * end by then may use them.
+ * Reservations for waiting large jobs: EASY backfilling (Lifka 1995) with predicted instead of declared run times
+ * (Tsafrir 2007). The workers that are expected to be free first are reserved for the job, and only work that is
+ * expected to end by then may use them.
  */
-import * as fleet from "./fleet";
+import * as fleetModule from "./fleet";
 import * as reclaim from "./reclaim";
 import * as request from "./request";
 
+/** Workers to reserve for a job. */
 export interface ReservedPlace {
-    readonly workers: readonly fleet.WorkerBook[];
+    readonly workers: readonly fleetModule.FleetWorker[];
     /** Monotonic time at which all of them are expected to be free. */
     readonly startAt: number;
 }
 
-/** The group of whole workers that is expected to be free first; `undefined` when no group could ever hold the job. */
-export function findReservation(books: fleet.Fleet, req: request.PlaceRequest, now: number): ReservedPlace | undefined {
-    const count = Math.ceil(req.accelerators / books.largestWorker);
+/** The workers that are expected to be free first; `undefined` when no group of reservable workers is large enough. */
+export function findReservation(
+    fleet: fleetModule.Fleet,
+    req: request.PlaceRequest,
+    now: number,
+): ReservedPlace | undefined {
+    const count = Math.ceil(req.accelerators / fleet.largestWorker);
     let best: ReservedPlace | undefined;
-    for (const group of getGroups(books, req)) {
-        const place = findInGroup(group, books.largestWorker, count, req, now);
+    for (const group of getGroups(fleet, req)) {
+        const place = findInGroup(group, fleet.largestWorker, count, req, now);
         if (place && (!best || place.startAt < best.startAt)) {
             best = place;
         }
@@ -26,13 +31,15 @@
     return best;
 }
 
+/** Reserves the workers of the place for the job. */
 export function setReservation(place: ReservedPlace, jobId: string): void {
     for (const worker of place.workers) {
-        worker.reservation = { jobId, startAt: place.startAt, firm: false };
+        worker.reservation = { jobId, startAt: place.startAt, exclusive: false };
     }
 }
 
-export function clearReservation(workers: Iterable<fleet.WorkerBook>, jobId: string): void {
+/** Removes the job's reservations from the workers. */
+export function clearReservation(workers: Iterable<fleetModule.FleetWorker>, jobId: string): void {
     for (const worker of workers) {
         if (worker.reservation?.jobId === jobId) {
             worker.reservation = undefined;
@@ -40,21 +47,21 @@
     }
 }
 
-function getGroups(books: fleet.Fleet, req: request.PlaceRequest): Array<readonly fleet.WorkerBook[]> {
-    const byRack = books.racks.map(rack => rack.workers);
-    const fitsOneRack = byRack.some(workers => workers.length * books.largestWorker >= req.accelerators);
+function getGroups(fleet: fleetModule.Fleet, req: request.PlaceRequest): Array<readonly fleetModule.FleetWorker[]> {
+    const byRack = fleet.racks.map(rack => rack.workers);
+    const fitsOneRack = byRack.some(workers => workers.length * fleet.largestWorker >= req.accelerators);
     switch (req.adjacency) {
         case "worker":
         case "rack":
             return byRack;
         case "adjacentRacks":
         case "any":
-            return fitsOneRack ? byRack : [[...books.workers.values()]];
+            return fitsOneRack ? byRack : [[...fleet.workers.values()]];
     }
 }
 
 function findInGroup(
-    group: readonly fleet.WorkerBook[],
+    group: readonly fleetModule.FleetWorker[],
     size: number,
     count: number,
     req: request.PlaceRequest,
@@ -62,7 +69,7 @@
 ): ReservedPlace | undefined {
     const free = group
         .filter(worker => isReservable(worker, size, req))
-        .map(worker => ({ worker, freeAt: fleet.getFreeAt(worker, now) }))
+        .map(worker => ({ worker, freeAt: fleetModule.getFreeAt(worker, now) }))
         .sort((a, b) => a.freeAt - b.freeAt)
         .slice(0, count);
     if (free.length < count) {
@@ -71,8 +78,8 @@
     return { workers: free.map(item => item.worker), startAt: Math.max(now, free[free.length - 1]!.freeAt) };
 }
 
-function isReservable(worker: fleet.WorkerBook, size: number, req: request.PlaceRequest): boolean {
-    const empty: reclaim.ReclaimBooks = { ...worker, tasks: new Map() };
+function isReservable(worker: fleetModule.FleetWorker, size: number, req: request.PlaceRequest): boolean {
+    const empty: reclaim.WorkerAllocation = { ...worker, tasks: new Map() };
     return worker.usable
         && worker.capacity.accelerators === size
         && (!worker.reservation || worker.reservation.jobId === req.jobId)
--- a/src/queue/attempt.ts
+++ b/src/queue/attempt.ts
@@ -1,8 +1,8 @@
 /**
- * One attempt of a job, from the write that claims it to the truth about each of its tasks, written straight down.
+ * Runs one attempt of a job, from the write that claims its row until the final state of each task is known.
  *
  * All members of a gang are prepared before any is started, and when one does not start, all are stopped. A task whose
- * answer was lost is stopped with a tombstone: the worker then says whether it ever started.
+ * reply was lost is stopped with a tombstone: the worker then replies whether the task ever started.
  */
 import * as platform from "../backing/index";
 import type * as clock from "../clock/index";
@@ -13,16 +13,19 @@
 import type * as queueEntry from "./entry";
 import * as scheduler from "./scheduler";
 
-/** What became of an attempt. */
+/** The result of an attempt. */
 export type AttemptEnd =
     | { readonly kind: "finished"; readonly ranMs: number; readonly digest: string; readonly length: number; }
-    /** Work failed by itself on this worker. */
+    /** A task failed on this worker without having been stopped. */
     | { readonly kind: "failed"; readonly workerId: string; readonly message: string; }
-    /** No task started, or all that did were stopped with their progress saved. */
+    /** No task started, or all that did were stopped; `savedMs` is the minimum run time saved by the members. */
     | { readonly kind: "stopped"; readonly started: boolean; readonly savedMs: number; }
-    /** A task may have run and its worker is gone. */
+    /** The task on this worker may have run, and the worker is lost. */
     | { readonly kind: "lost"; readonly workerId: string; }
-    /** Another owner has moved the job on, or its row could not be written: nothing was sent. */
+    /**
+     * Another owner has changed the row, or it could not be written: no command was sent. Also the result when this
+     * owner stops. `found` is the current row, if known.
+     */
     | { readonly kind: "notClaimed"; readonly found: jobs.VersionedRow | undefined; };
 
 /** The final state of one task. */
@@ -33,10 +36,11 @@
     | { readonly kind: "stopped"; readonly savedMs: number; }
     | { readonly kind: "lost"; };
 
+/** Runs the attempts of a zone's jobs. */
 export interface AttemptRunner {
-    /** Claims the job by its row and runs it on the members. */
+    /** Claims the job by writing its row, then runs it on the members. */
     run(entry: queueEntry.QueueEntry, members: queueEntry.Members): Promise<AttemptEnd>;
-    /** Takes over an attempt that an earlier owner of the queue claimed. */
+    /** Monitors an attempt that a previous owner of the queue claimed. */
     adopt(entry: queueEntry.QueueEntry, members: queueEntry.Members): Promise<AttemptEnd>;
 }
 
@@ -48,20 +52,21 @@
     readonly signal: AbortSignal;
     readonly leases: workers.LeaseTimes;
     readonly getGraceMs: () => number;
-    /** `undefined` when the rack's owner was not reached: the commands may have been carried out. */
+    /** Sends commands to a rack's owner; `undefined` without a reply: the commands may have been carried out. */
     readonly command: (command: peer.RackCommand) => Promise<peer.RackCommandReply | undefined>;
-    /** Called when a member ended, so that its place can be used again. */
+    /** Called when a member has ended, so that its resources can be used again. */
     readonly onMemberEnd: (entry: queueEntry.QueueEntry, index: number) => void;
 }
 
-/** A gang that is not started whole after this long is stopped. */
-const GANG_START_MS = 5000;
+/** A gang of which not all members have started after this time is stopped. */
+const GANG_START_TIMEOUT_MS = 5000;
+/** Delay before a start or stop command is sent again. */
 const STOP_RETRY_MS = 200;
 
 export function createAttemptRunner(options: AttemptOptions): AttemptRunner {
     const { store, clock: time, counters, signal } = options;
 
-    /** Sends one action to each of the given members, rack by rack; the results are in the order of the members. */
+    /** Sends one action to each of the given members, in one call per rack. Returns the results by member index. */
     const commandAll = async (
         members: queueEntry.Members,
         indexes: readonly number[],
@@ -73,7 +78,8 @@
             byRack.set(rackId, [...byRack.get(rackId) ?? [], index]);
         }
         const results = new Map<number, peer.CommandResult["result"]>();
-        // Racks in one order everywhere, so that two gangs that want the same racks do not each hold half of them.
+        // Racks are called in the same order everywhere, so that two gangs do not each hold half of the racks both
+        // need.
         const racks = [...byRack].sort(([a], [b]) => a < b ? -1 : 1);
         await Promise.all(racks.map(async ([rackId, rackIndexes]) => {
             const commands = rackIndexes.map(index => ({
@@ -117,7 +123,7 @@
         },
     });
 
-    /** Writes the claim. Only the winner of the row may send anything to a worker. */
+    /** Claims the job by a conditional write of its row; only the winner may send commands to workers. */
     const claim = async (
         entry: queueEntry.QueueEntry,
         members: queueEntry.Members,
@@ -144,7 +150,7 @@
         }
     };
 
-    /** The claim's answer was lost: waits until the row says whether it is ours. */
+    /** After a claim whose result is unknown: reads the row until it shows whether this owner's write succeeded. */
     const readClaim = async (
         entry: queueEntry.QueueEntry,
         row: jobs.JobRow,
@@ -161,13 +167,14 @@
                 if (!found.value || found.value.version !== entry.stored.version) {
                     return { kind: "notClaimed", found: found.value };
                 }
-                // Not written yet, but the first sending may still be under way: writing again settles which wins.
-                const again = await store.update(found.value, row, platform.Priority.Submit);
-                if (again.kind === "written") {
-                    entry.stored = again.stored;
+                // Not written yet, but the first write may still arrive. Both are conditional on the version, so that
+                // after a second write at most one of them succeeds.
+                const rewritten = await store.update(found.value, row, platform.Priority.Submit);
+                if (rewritten.kind === "written") {
+                    entry.stored = rewritten.stored;
                     return undefined;
                 }
-                ownWriteId = again.kind === "unknown" ? again.writeId : ownWriteId;
+                ownWriteId = rewritten.kind === "unknown" ? rewritten.writeId : ownWriteId;
             }
             await time.sleep(options.retry.getDelay(failures), signal);
         }
@@ -180,20 +187,20 @@
     const isPrepared = (answered: peer.CommandResult["result"]) =>
         answered?.$case === "status" && answered.value.state !== "tombstoned";
 
-    /** Prepares all, then starts all; false when the attempt has to be stopped. */
+    /** Prepares all members, then starts all of them; returns false when the attempt has to be stopped. */
     const start = async (entry: queueEntry.QueueEntry, members: queueEntry.Members): Promise<boolean> => {
         const indexes = [...members.keys()];
         const created = await commandAll(members, indexes, index => createAction(entry, members, index));
         if (members.length === 1) {
             return isStarted(created.get(0));
         }
-        if (!indexes.every(index => isPrepared(created.get(index))) || entry.wish !== "run") {
+        if (!indexes.every(index => isPrepared(created.get(index))) || entry.requestedAction !== "run") {
             counters.increment("gangs.notPrepared");
             return false;
         }
-        const giveUpAt = time.now() + GANG_START_MS;
+        const startDeadlineAt = time.now() + GANG_START_TIMEOUT_MS;
         let pending = indexes;
-        while (pending.length > 0 && time.now() < giveUpAt && !signal.aborted) {
+        while (pending.length > 0 && time.now() < startDeadlineAt && !signal.aborted) {
             const started = await commandAll(members, pending, index => ({
                 $case: "start",
                 value: { taskId: getTaskId(entry, index) },
@@ -213,14 +220,16 @@
         return true;
     };
 
-    /** Stops one task until its worker says what became of it, or its lease has certainly lapsed. */
+    /**
+     * Sends stop commands until the worker reports the task's final state or the task's lease has certainly expired.
+     */
     const stopTask = async (
         entry: queueEntry.QueueEntry,
         members: queueEntry.Members,
         index: number,
         mode: workers.StopMode,
     ): Promise<TaskEnd> => {
-        const lapseMs = options.leases.taskMs + options.leases.controlMs;
+        const leaseExpiryMs = options.leases.taskMs + options.leases.controlMs;
         const graceEndsAt = time.now() + options.getGraceMs();
         let unreachableSince: number | undefined;
         while (!signal.aborted) {
@@ -235,10 +244,10 @@
                 options.onMemberEnd(entry, index);
                 return end;
             }
-            // The rack's owner answers and has no lease on the worker: nobody renews the task's lease.
+            // The rack's owner replies that it has no lease on the worker, so the task's lease is not renewed.
             const isUnreachable = outcome?.$case === "refused" && outcome.value.reason === "unreachable";
             unreachableSince = isUnreachable ? unreachableSince ?? time.now() : undefined;
-            if (unreachableSince !== undefined && time.now() - unreachableSince > lapseMs) {
+            if (unreachableSince !== undefined && time.now() - unreachableSince > leaseExpiryMs) {
                 options.onMemberEnd(entry, index);
                 return { kind: "lost" };
             }
@@ -272,7 +281,7 @@
         return { kind: "stopped", started: ends.some(end => end.kind !== "neverStarted"), savedMs };
     };
 
-    /** Waits until the first member's answer is in the object store. */
+    /** Waits until the first member's report carries the digest of the job's answer. */
     const awaitAnswer = async (entry: queueEntry.QueueEntry): Promise<AttemptEnd> => {
         for (;;) {
             const view = entry.reports.get(0);
@@ -287,8 +296,8 @@
         }
     };
 
-    /** Follows the reports until all members finished, or until the attempt has to be stopped. */
-    const follow = async (entry: queueEntry.QueueEntry, members: queueEntry.Members): Promise<AttemptEnd> => {
+    /** Follows the reports until all members have finished or the attempt has to be stopped. */
+    const monitor = async (entry: queueEntry.QueueEntry, members: queueEntry.Members): Promise<AttemptEnd> => {
         const startedAt = time.now();
         const endedIndexes = new Set<number>();
         while (!signal.aborted) {
@@ -303,35 +312,35 @@
             if (endedIndexes.size === members.length) {
                 return awaitAnswer(entry);
             }
-            if (entry.wish === "evict") {
+            if (entry.requestedAction === "evict") {
                 return stopAll(entry, members, workers.StopMode.Checkpoint);
             }
-            const isBroken = views.some(view => view && isBrokenView(view));
-            const isHalfStarted = views.some(view => view?.kind === "reported" && view.report.state === "prepared")
-                && time.now() - startedAt > GANG_START_MS;
-            if (entry.wish === "cancel" || isBroken || isHalfStarted) {
+            const isFailed = views.some(view => view && isFailedView(view));
+            const isPartiallyStarted = views.some(view => view?.kind === "reported" && view.report.state === "prepared")
+                && time.now() - startedAt > GANG_START_TIMEOUT_MS;
+            if (entry.requestedAction === "cancel" || isFailed || isPartiallyStarted) {
                 return stopAll(entry, members, workers.StopMode.Tombstone);
             }
-            await Promise.race([changed.promise, time.sleep(GANG_START_MS, signal)]);
+            await Promise.race([changed.promise, time.sleep(GANG_START_TIMEOUT_MS, signal)]);
         }
         return { kind: "notClaimed", found: undefined };
     };
 
     return {
         run: async (entry, members) => {
-            const refusedClaim = await claim(entry, members);
-            if (refusedClaim) {
-                return refusedClaim;
+            const failedClaim = await claim(entry, members);
+            if (failedClaim) {
+                return failedClaim;
             }
             return await start(entry, members)
-                ? follow(entry, members)
+                ? monitor(entry, members)
                 : stopAll(entry, members, workers.StopMode.Tombstone);
         },
-        adopt: follow,
+        adopt: monitor,
     };
 }
 
-function isBrokenView(view: queueEntry.TaskView): boolean {
+function isFailedView(view: queueEntry.TaskView): boolean {
     if (view.kind === "missing") {
         return true;
     }
--- a/src/queue/attemptEnds.ts
+++ b/src/queue/attemptEnds.ts
@@ -1,4 +1,4 @@
-/** What an attempt's end means for its job: done, tried again, given up, or somebody else's. */
+/** Handles the end of an attempt: the job ends, is queued again, or is taken over as another owner has written it. */
 import type * as clock from "../clock/index";
 import type * as jobs from "../jobs/index";
 import type * as observe from "../observe/index";
@@ -18,24 +18,24 @@
     readonly health: workers.WorkerHealth;
     readonly recorder: recorderModule.Recorder;
     getMaxFailures(): number;
-    /** Records the job's end. */
+    /** Records the job's outcome. */
     finish(entry: queueEntry.QueueEntry, outcome: jobs.JobOutcome): Promise<void>;
-    /** Lets the job wait for its next attempt. */
+    /** Queues the job for its next attempt. */
     requeue(entry: queueEntry.QueueEntry): void;
-    /** Takes over what another owner has written. */
+    /** Replaces the entry by the row that another owner has written. */
     replace(entry: queueEntry.QueueEntry, found: jobs.VersionedRow | undefined): void;
-    /** A failure may have made a worker unusable. */
-    workersChanged(): void;
-    /** Room has come free. */
-    wake(): void;
+    /** Called after a failure, which may have made a worker unusable. */
+    onWorkersChanged(): void;
+    /** Requests a scheduling pass, since resources have become free. */
+    requestPass(): void;
 }
 
 export interface AttemptEnds {
     handleEnd(entry: queueEntry.QueueEntry, end: attemptModule.AttemptEnd): Promise<void>;
 }
 
-/** After an attempt that came to nothing, since its cause often lasts for a moment. */
-const PAUSE_AFTER_REFUSAL_MS = 300;
+/** Delay after an attempt that did not start, since the cause often lasts for a moment. */
+const RETRY_DELAY_MS = 300;
 
 export function createAttemptEnds(options: AttemptEndsOptions): AttemptEnds {
     const { clock: time, counters, scheduler, health, recorder } = options;
@@ -43,7 +43,7 @@
     const handleEnd = async (entry: queueEntry.QueueEntry, end: attemptModule.AttemptEnd): Promise<void> => {
         const { job } = entry;
         scheduler.end(job.jobId, end.kind === "finished" ? end.ranMs : undefined);
-        options.wake();
+        options.requestPass();
         switch (end.kind) {
             case "finished":
                 for (const member of entry.stored.row.members) {
@@ -69,8 +69,8 @@
                 );
             case "notClaimed":
                 if (end.found?.version === entry.stored.version) {
-                    // The table service is down: the job stays accepted and waits.
-                    await time.sleep(PAUSE_AFTER_REFUSAL_MS, options.signal);
+                    // The table service is unavailable: the job stays accepted and is queued again.
+                    await time.sleep(RETRY_DELAY_MS, options.signal);
                     options.requeue(entry);
                     return;
                 }
@@ -87,10 +87,11 @@
         job.failedAt = time.now();
         const maxFailures = options.getMaxFailures();
         if (job.failures >= maxFailures) {
-            // It failed on several workers that others use without trouble: the job is at fault, not the workers.
+            // The job failed on workers that run other jobs without failures, so the job is the cause and its failures
+            // no longer count against the workers.
             health.absolve(job.jobId);
         }
-        options.workersChanged();
+        options.onWorkersChanged();
         if (job.repeatable && job.failures < maxFailures) {
             counters.increment("jobs.retried");
             options.requeue(entry);
@@ -100,7 +101,7 @@
     };
 
     const handleStopped = async (entry: queueEntry.QueueEntry, started: boolean, savedMs: number): Promise<void> => {
-        if (entry.wish === "cancel") {
+        if (entry.requestedAction === "cancel") {
             const outcome = started
                 ? outcomes.failed(result.ResultCode.Cancelled, "cancelled while it ran")
                 : outcomes.cancelled();
@@ -121,7 +122,7 @@
         }
         if (!started) {
             counters.increment("attempts.notStarted");
-            await time.sleep(PAUSE_AFTER_REFUSAL_MS, options.signal);
+            await time.sleep(RETRY_DELAY_MS, options.signal);
         }
         options.requeue(entry);
     };
--- a/src/queue/heads.ts
+++ b/src/queue/bucketHeap.ts
@@ -1,23 +1,24 @@
-/** The buckets of waiting jobs in the order of a pass, and what of them needs not be tried again. */
+/** A priority queue of the buckets of waiting jobs for one scheduling pass, and a memo of requests that did not fit. */
 import * as heapJs from "heap-js";
 import type * as placement from "../placement/index";
 import * as decisionState from "./decisionState";
 import type * as jobQueue from "./jobQueue";
 import type * as queuedJob from "./queuedJob";
 
-export interface Heads {
-    /** The bucket with the highest score. */
+/** Buckets ordered by the score of their first job without a hold. */
+export interface BucketHeap {
+    /** Removes and returns the bucket with the highest score. */
     pop(): jobQueue.Bucket | undefined;
-    /** Puts a bucket back, with the score of its new head. */
+    /** Puts a bucket back with the score of its new head; a bucket without a job to place is dropped. */
     push(bucket: jobQueue.Bucket): void;
 }
 
-/** The buckets in the order of their heads' scores. */
-export function createHeads(
+/** Creates the heap; `getScore` is called once for each head that is pushed. */
+export function createBucketHeap(
     state: decisionState.DecisionState,
     getScore: (job: queuedJob.QueuedJob) => number,
     buckets: Iterable<jobQueue.Bucket>,
-): Heads {
+): BucketHeap {
     const heap = new heapJs.Heap<{ bucket: jobQueue.Bucket; score: number; }>((a, b) => b.score - a.score);
     const createItem = (bucket: jobQueue.Bucket) => {
         const head = decisionState.getFirstUnheld(state, bucket);
@@ -35,13 +36,14 @@
     };
 }
 
+/** The requests that did not fit in this pass. */
 export interface FailureMemo {
     add(req: placement.PlaceRequest): void;
-    /** Whether a smaller or equal request already failed in this pass. */
-    isHopeless(req: placement.PlaceRequest): boolean;
+    /** Whether a smaller or equal request of the same kind already failed in this pass. */
+    isKnownToFail(req: placement.PlaceRequest): boolean;
 }
 
-/** Remembers for one pass what did not fit, so that ten thousand alike jobs cost one search. */
+/** Creates the memo for one pass. With it, ten thousand similar jobs that do not fit cost one search. */
 export function createFailureMemo(): FailureMemo {
     const smallestFailed = new Map<string, number>();
     const getKey = (req: placement.PlaceRequest) =>
@@ -53,6 +55,6 @@
                 smallestFailed.set(key, Math.min(smallestFailed.get(key) ?? Infinity, req.accelerators));
             }
         },
-        isHopeless: req => req.accelerators >= (smallestFailed.get(getKey(req)) ?? Infinity),
+        isKnownToFail: req => req.accelerators >= (smallestFailed.get(getKey(req)) ?? Infinity),
     };
 }
--- a/src/queue/decide.ts
+++ b/src/queue/decide.ts
@@ -1,17 +1,19 @@
-/** One scheduling pass, by policy. */
+/** One scheduling pass under the configured policy. */
 import type * as configuration from "../configuration/index";
 import * as placement from "../placement/index";
+import * as bucketHeap from "./bucketHeap";
 import * as consolidation from "./consolidate";
 import * as decisionState from "./decisionState";
-import * as heads from "./heads";
 import * as jobQueue from "./jobQueue";
 import * as largeJobs from "./largeJobs";
 import type * as queuedJob from "./queuedJob";
 
-/** A reservation whose time passed by more than this is planned anew. */
+/** A reservation whose start time is overdue by more than this is replaced by a new one. */
 const REPLAN_AFTER_MS = 60_000;
+
+/** Runs one pass: calls `actions` for each job to start and each running job to evict. */
 export function runPass(state: decisionState.DecisionState, actions: decisionState.DecisionActions, now: number): void {
-    moveOffDrained(state, actions);
+    evictFromDrainedWorkers(state, actions);
     const { policy } = state.terms;
     switch (policy.kind) {
         case "fifoFirstFit":
@@ -26,10 +28,10 @@
     }
 }
 
-/** Maintenance: repeatable work on drained workers is moved; other work runs to its end. */
-function moveOffDrained(state: decisionState.DecisionState, actions: decisionState.DecisionActions): void {
+/** Maintenance: evicts evictable tasks from drained workers; other tasks run to completion. */
+function evictFromDrainedWorkers(state: decisionState.DecisionState, actions: decisionState.DecisionActions): void {
     for (const workerId of state.terms.drained) {
-        const worker = state.books.workers.get(workerId);
+        const worker = state.fleet.workers.get(workerId);
         for (const task of worker?.tasks.values() ?? []) {
             if (task.evictable) {
                 actions.evict(task.jobId, "maintenance");
@@ -38,7 +40,7 @@
     }
 }
 
-/** Order of arrival over all accounts; with `blocking`, a job that does not fit holds up all behind it. */
+/** Places jobs of all accounts in order of arrival; with `blocking`, the first job that does not fit ends the pass. */
 function runInOrder(
     state: decisionState.DecisionState,
     actions: decisionState.DecisionActions,
@@ -46,13 +48,13 @@
     policy: configuration.Policy,
     blocking: boolean,
 ): void {
-    const failed = heads.createFailureMemo();
-    const ordered = heads.createHeads(state, job => -job.queuedAt, state.queue.getBuckets());
+    const failed = bucketHeap.createFailureMemo();
+    const ordered = bucketHeap.createBucketHeap(state, job => -job.queuedAt, state.queue.getBuckets());
     for (let bucket = ordered.pop(); bucket; bucket = ordered.pop()) {
         const job = jobQueue.getHead(bucket)!;
         const req = decisionState.createRequest(state, job, now);
-        const members = !failed.isHopeless(req) && decisionState.isWithinLimit(state, job)
-            ? placement.findPlace(state.books, req, policy, now)
+        const members = !failed.isKnownToFail(req) && decisionState.isWithinLimit(state, job)
+            ? placement.findPlace(state.fleet, req, policy, now)
             : undefined;
         if (members) {
             actions.start(job, members);
@@ -80,21 +82,21 @@
     consolidation.consolidate(state, actions, now, policy);
 }
 
-/** Starts jobs whose kept place is free now, and stops what overran its prediction there. */
+/** Starts jobs whose held place is free now, and evicts tasks that overran their prediction there. */
 function startHeld(state: decisionState.DecisionState, actions: decisionState.DecisionActions, now: number): void {
     for (const [jobId, hold] of [...state.held]) {
         const job = state.queue.get(jobId);
         if (!job) {
-            // A job that is being moved is still running where it was.
+            // A job that is being moved still runs on its old worker.
             if (!state.running.get(jobId)?.evicting || hold.kind !== "move") {
                 decisionState.dropHold(state, jobId);
             }
             continue;
         }
         const req = decisionState.createRequest(state, job, now);
-        const members = hold.members ?? getReservedMembers(hold, req, state.books.largestWorker);
+        const members = hold.members ?? getReservedMembers(hold, req, state.fleet.largestWorker);
         const isFree = members.every(member => {
-            const worker = state.books.workers.get(member.workerId);
+            const worker = state.fleet.workers.get(member.workerId);
             return worker && placement.isAllowed(worker, req, member.needs.accelerators);
         });
         if (isFree) {
@@ -102,18 +104,18 @@
             continue;
         }
         const isUsable = hold.workers.every(worker => worker.usable && !req.excludedWorkers.has(worker.id));
-        if (!isUsable || (hold.kind === "move" && now > hold.madeAt + consolidation.MOVE_COST_MS)) {
+        if (!isUsable || (hold.kind === "move" && now > hold.createdAt + consolidation.MOVE_COST_MS)) {
             decisionState.dropHold(state, jobId);
             continue;
         }
         if (hold.kind === "reserved" && now > hold.startAt + REPLAN_AFTER_MS) {
-            // Planned anew before other jobs have their turn: they would take the workers that are free already.
+            // Reserves again before other jobs are placed: they would take the workers that are already free.
             decisionState.dropHold(state, jobId);
             largeJobs.reserve(state, job, now);
             continue;
         }
         if (hold.kind === "reserved") {
-            stopOverrun(actions, hold, now);
+            evictOverrunTasks(actions, hold, now);
         }
     }
 }
@@ -127,21 +129,21 @@
     });
 }
 
-/** Work that was let onto a kept place because it was expected to end in time gives way when it does not. */
-function stopOverrun(actions: decisionState.DecisionActions, hold: decisionState.Hold, now: number): void {
+/** Evicts backfilled tasks that were expected to end before the reservation starts and have not. */
+function evictOverrunTasks(actions: decisionState.DecisionActions, hold: decisionState.Hold, now: number): void {
     if (now < hold.startAt) {
         return;
     }
     for (const worker of hold.workers) {
         for (const task of worker.tasks.values()) {
-            if (task.evictable && task.placedAt >= hold.madeAt && task.predictedEndAt <= now) {
+            if (task.evictable && task.placedAt >= hold.createdAt && task.predictedEndAt <= now) {
                 actions.evict(task.jobId, "overrun");
             }
         }
     }
 }
 
-/** Jobs that fit what their account is guaranteed and does not use: they get it, if need be from borrowers. */
+/** Places jobs that fit within their account's unused guarantee, if necessary by evicting borrowed work. */
 function runWithinGuarantees(
     state: decisionState.DecisionState,
     actions: decisionState.DecisionActions,
@@ -149,31 +151,35 @@
     policy: configuration.Policy,
 ): void {
     for (const account of state.terms.accounts) {
-        if (state.books.getHomeWorkers(account.name).length === 0) {
+        if (state.fleet.getHomeWorkers(account.name).length === 0) {
             continue;
         }
         const buckets = [...state.queue.getAccountBuckets(account.name)];
         if (buckets.length === 0 || !mayUseGuarantee(state, account.name, buckets)) {
             continue;
         }
-        const failed = heads.createFailureMemo();
-        const ordered = heads.createHeads(state, job => getUrgency(job) + getResponseRatio(state, job, now), buckets);
+        const failed = bucketHeap.createFailureMemo();
+        const ordered = bucketHeap.createBucketHeap(
+            state,
+            job => getUrgencyScore(job) + getResponseRatio(state, job, now),
+            buckets,
+        );
         for (let bucket = ordered.pop(); bucket; bucket = ordered.pop()) {
             const job = decisionState.getFirstUnheld(state, bucket);
             if (!job) {
                 continue;
             }
             const req = decisionState.createRequest(state, job, now);
-            if (failed.isHopeless(req) || !decisionState.isWithinLimit(state, job)) {
+            if (failed.isKnownToFail(req) || !decisionState.isWithinLimit(state, job)) {
                 continue;
             }
-            const isSmall = job.accelerators < state.books.largestWorker;
-            if (isSmall && state.books.getFreeGuaranteed(account.name) < job.accelerators) {
+            const isSmall = job.accelerators < state.fleet.largestWorker;
+            if (isSmall && state.fleet.getFreeGuaranteed(account.name) < job.accelerators) {
                 failed.add(req);
                 continue;
             }
-            const reclaim = placement.findReclaim(state.books, req, now);
-            const place = reclaim && (placement.findPlace(state.books, req, policy, now) ?? reclaim.members);
+            const reclaim = placement.findReclaim(state.fleet, req, now);
+            const place = reclaim && (placement.findPlace(state.fleet, req, policy, now) ?? reclaim.members);
             if (!place || !reclaim) {
                 failed.add(req);
                 continue;
@@ -183,7 +189,7 @@
                 ordered.push(bucket);
                 continue;
             }
-            decisionState.keepPlace(state, job, "reclaim", reclaim, now);
+            decisionState.holdPlace(state, job, "reclaim", reclaim, now);
             for (const victim of reclaim.victims) {
                 actions.evict(victim, "reclaim");
             }
@@ -192,61 +198,66 @@
     }
 }
 
-/** Whether any waiting job could use the account's homes: free ones, or, for large jobs, those its own small tasks use. */
+/**
+ * Whether a waiting job could use the account's homes: free ones or, for large jobs, those used by its own small tasks.
+ */
 function mayUseGuarantee(
     state: decisionState.DecisionState,
     account: string,
     buckets: readonly jobQueue.Bucket[],
 ): boolean {
-    const free = state.books.getFreeGuaranteed(account);
+    const free = state.fleet.getFreeGuaranteed(account);
     return buckets.some(bucket => {
         const accelerators = jobQueue.getHead(bucket)?.accelerators ?? 0;
-        return accelerators <= free || accelerators >= state.books.largestWorker;
+        return accelerators <= free || accelerators >= state.fleet.largestWorker;
     });
 }
 
-/** What is beyond guarantees: urgent jobs first, then by response ratio, divided by what the account has already. */
+/**
+ * Places jobs beyond the guarantees: urgent jobs first, then by response ratio divided by the share of the zone that
+ * the account uses beyond its guarantee.
+ */
 function runFairShares(
     state: decisionState.DecisionState,
     actions: decisionState.DecisionActions,
     now: number,
     policy: configuration.Policy,
 ): void {
-    if (state.books.getFreeAccelerators() === 0 && !hasUrgent(state)) {
+    if (state.fleet.getFreeAccelerators() === 0 && !hasUrgent(state)) {
         return;
     }
-    const failed = heads.createFailureMemo();
-    const total = state.books.workers.size * Math.max(1, state.books.largestWorker);
+    const failed = bucketHeap.createFailureMemo();
+    const total = state.fleet.workers.size * Math.max(1, state.fleet.largestWorker);
     const guaranteed = new Map(state.terms.accounts.map(item => [item.name, getGuaranteed(state, item.name)]));
     const getScore = (job: queuedJob.QueuedJob) => {
-        // Read anew for each head that is pushed: what the account got in this pass counts already.
-        const beyond = Math.max(0, state.books.getUse(job.account) - (guaranteed.get(job.account) ?? 0));
-        const share = beyond / total / (state.accountsByName.get(job.account)?.weight ?? 1);
-        return getUrgency(job) + getResponseRatio(state, job, now) / (MIN_SHARE + share);
+        // Computed for each head that is pushed, so that accelerators assigned in this pass already count.
+        const overGuarantee = Math.max(0, state.fleet.getUse(job.account) - (guaranteed.get(job.account) ?? 0));
+        const share = overGuarantee / total / (state.accountsByName.get(job.account)?.weight ?? 1);
+        return getUrgencyScore(job) + getResponseRatio(state, job, now) / (MIN_SHARE + share);
     };
-    const ordered = heads.createHeads(state, getScore, state.queue.getBuckets());
+    const ordered = bucketHeap.createBucketHeap(state, getScore, state.queue.getBuckets());
     for (let bucket = ordered.pop(); bucket; bucket = ordered.pop()) {
         const job = decisionState.getFirstUnheld(state, bucket);
         if (!job) {
             continue;
         }
         const req = decisionState.createRequest(state, job, now);
-        const isFull = state.books.getFreeAccelerators() < req.accelerators && job.jobClass !== "urgent";
-        if (isFull || failed.isHopeless(req) || !decisionState.isWithinLimit(state, job)) {
+        const isFull = state.fleet.getFreeAccelerators() < req.accelerators && job.jobClass !== "urgent";
+        if (isFull || failed.isKnownToFail(req) || !decisionState.isWithinLimit(state, job)) {
             continue;
         }
-        const members = placement.findPlace(state.books, req, policy, now);
+        const members = placement.findPlace(state.fleet, req, policy, now);
         if (members) {
             actions.start(job, members);
             ordered.push(bucket);
             continue;
         }
-        const preemption = job.jobClass === "urgent" ? placement.findPreemption(state.books, req, now) : undefined;
+        const preemption = job.jobClass === "urgent" ? placement.findPreemption(state.fleet, req, now) : undefined;
         if (!preemption) {
             failed.add(req);
             continue;
         }
-        decisionState.keepPlace(state, job, "urgent", preemption, now);
+        decisionState.holdPlace(state, job, "urgent", preemption, now);
         for (const victim of preemption.victims) {
             actions.evict(victim, "urgent");
         }
@@ -254,15 +265,18 @@
     }
 }
 
-/** Share every account is taken to have, so that the first accelerator does not outweigh all else. */
+/** Added to each account's share, so that the first accelerator does not dominate the score. */
 const MIN_SHARE = 0.1;
+/** Exceeds any realistic score of another class, so that urgent jobs come first. */
 const URGENT_SCORE = 1e9;
 
-function getUrgency(job: queuedJob.QueuedJob): number {
+function getUrgencyScore(job: queuedJob.QueuedJob): number {
     return job.jobClass === "urgent" ? URGENT_SCORE : 0;
 }
 
-/** Highest response ratio next: short jobs go first, and waiting raises every job's turn, so that none starves. */
+/**
+ * Highest response ratio next (HRRN): short jobs come first, and the ratio grows with the wait, so that no job starves.
+ */
 function getResponseRatio(state: decisionState.DecisionState, job: queuedJob.QueuedJob, now: number): number {
     const remaining = decisionState.getRemainingMs(state, job);
     return (now - job.queuedAt + remaining) / remaining;
@@ -270,7 +284,7 @@
 
 function getGuaranteed(state: decisionState.DecisionState, account: string): number {
     let total = 0;
-    for (const worker of state.books.getHomeWorkers(account)) {
+    for (const worker of state.fleet.getHomeWorkers(account)) {
         total += worker.homes.get(account) ?? 0;
     }
     return total;
--- a/src/queue/endWaiters.ts
+++ b/src/queue/endWaiters.ts
@@ -1,10 +1,11 @@
 /** Calls that wait for the end of a job. */
 import type * as clock from "../clock/index";
 
+/** Waits for the ends of jobs. */
 export interface EndWaiters {
-    /** Tells all that wait for the job. */
+    /** Resolves all waits for the job with "ended". */
     announce(jobId: string): void;
-    /** Resolves with "ended", or after `waitMs` with the job's state. */
+    /** Resolves with "ended" when the end is announced, or after `waitMs` milliseconds with the job's state. */
     wait(jobId: string, waitMs: number, getState: (jobId: string) => string): Promise<string>;
 }
 
--- a/src/queue/index.ts
+++ b/src/queue/index.ts
@@ -1,6 +1,8 @@
-/** Queues: the scheduler's decisions, and the owner of a zone's queue. */
+/**
+ * Zone queues: the scheduler that decides placements and evictions, and the runtime of the instance that owns a queue.
+ */
 export { type AttemptEnd } from "./attempt";
-export { LARGE_PATIENCE_MS } from "./largeJobs";
+export { PREEMPT_FOR_LARGE_AFTER_MS } from "./largeJobs";
 export { createPredictor, type Predictor } from "./predictor";
 export type { QueuedJob } from "./queuedJob";
 export {
--- a/src/queue/jobMoves.ts
+++ b/src/queue/jobMoves.ts
@@ -1,4 +1,4 @@
-/** Jobs that go on waiting in the queue of another zone, which has room for them. */
+/** Moves waiting jobs to the queues of zones that have room for them. */
 import * as platform from "../backing/index";
 import type * as clock from "../clock/index";
 import type * as jobs from "../jobs/index";
@@ -12,36 +12,41 @@
     readonly store: jobs.JobStore;
     readonly scheduler: schedulerModule.Scheduler;
     readonly entries: Map<string, queueEntry.QueueEntry>;
-    /** A zone that could take the job now, by what its queue owner last said; undefined for none. */
+    /** A zone that has room for the job according to its queue owner's latest load; `undefined` for none. */
     readonly findOtherZone: (job: { readonly account: string; readonly accelerators: number; }) => string | undefined;
-    /** Tells the owner of a queue that a job was moved to it. */
+    /** Notifies the owner of a zone's queue that a job was moved to it. */
     readonly notifyMoved: (zone: string, jobId: string) => void;
+    /** Queues the job here again, since it could not be moved. */
     requeue(entry: queueEntry.QueueEntry): void;
+    /** Replaces the entry by the row that another owner has written. */
     replace(entry: queueEntry.QueueEntry, found: jobs.VersionedRow | undefined): void;
+    /** Runs work in the background and logs its failure. */
     run(work: Promise<void>): void;
 }
 
 export interface JobMoves {
+    /** Starts the moves that are due. */
     moveWaiting(): void;
 }
 
-/** A job that waited in this queue for this long may be moved to another zone. */
-const MOVE_AFTER_MS = 2000;
-const MAX_MOVES_A_ROUND = 20;
+/** A job may be moved to another zone once it has waited in this queue for longer than this. */
+const MIN_WAIT_BEFORE_MOVE_MS = 2000;
+const MAX_MOVES_PER_ROUND = 20;
 
 export function createJobMoves(options: JobMovesOptions): JobMoves {
     const { clock: time, counters, store, scheduler, entries, requeue, replace, run } = options;
 
-    /** Moves jobs that wait here to zones that have room for them, a few at a time since the view of the other is old. */
+    /** Moves a few jobs per round, since the load of the other zones is known with a delay. */
     const moveWaiting = () => {
         const now = time.now();
         let moves = 0;
         for (const job of scheduler.queue.getJobs()) {
-            if (moves >= MAX_MOVES_A_ROUND) {
+            if (moves >= MAX_MOVES_PER_ROUND) {
                 return;
             }
             const entry = entries.get(job.jobId);
-            const isDue = entry && now - entry.admittedAt > MOVE_AFTER_MS && !scheduler.isPlaceKept(job.jobId);
+            const isDue = entry && now - entry.admittedAt > MIN_WAIT_BEFORE_MOVE_MS
+                && !scheduler.isPlaceKept(job.jobId);
             const target = isDue ? options.findOtherZone(job) : undefined;
             if (target !== undefined && entry && !entry.active && scheduler.remove(job.jobId)) {
                 moves++;
--- a/src/queue/jobQueue.ts
+++ b/src/queue/jobQueue.ts
@@ -1,33 +1,41 @@
 /**
- * Waiting jobs, in buckets of alike jobs. Within a bucket the oldest is always the best choice, so a scheduling pass looks
- * at the heads of the buckets and not at every job; adding and removing a job take constant time, cancellations included.
+ * Waiting jobs in buckets of similar jobs. Within a bucket the oldest job is always the best choice, so a scheduling
+ * pass examines the heads of the buckets and not every job. Adding, removing and cancelling a job take constant time.
  */
 import type * as queuedJob from "./queuedJob";
 
+/** Jobs with the same key, in insertion order. */
 export interface Bucket {
     readonly key: string;
     readonly account: string;
     readonly jobs: Map<string, queuedJob.QueuedJob>;
 }
 
+/** The waiting jobs of one zone. */
 export interface JobQueue {
+    /** Adds a job; does nothing when it is queued already. */
     add(job: queuedJob.QueuedJob): void;
+    /** Removes a job; returns `undefined` when it is not queued. */
     remove(jobId: string): queuedJob.QueuedJob | undefined;
     get(jobId: string): queuedJob.QueuedJob | undefined;
     getBuckets(): Iterable<Bucket>;
     /** Buckets of one account. */
     getAccountBuckets(account: string): Iterable<Bucket>;
+    /** Number of waiting jobs of an account and class. */
     getCount(account: string, jobClass: string): number;
     size(): number;
     /** All jobs, in no particular order. */
     getJobs(): Iterable<queuedJob.QueuedJob>;
 }
 
-/** Durations within a factor of two of each other share a bucket. */
+/**
+ * The key of a job's bucket: jobs of equal shape whose predicted run times are within about a factor of two share it.
+ */
 export function getBucketKey(job: queuedJob.QueuedJob, predictedMs: number): string {
     const magnitude = Math.round(Math.log2(Math.max(1000, predictedMs)));
-    // A job that failed somewhere may not fit where its fellows do, and must not stand in their way.
-    const failed = job.failedWorkers.size > 0 ? job.jobId : "";
+    // A job that failed somewhere excludes workers. In a bucket of its own it does not block the others when it does
+    // not fit.
+    const ownBucketId = job.failedWorkers.size > 0 ? job.jobId : "";
     return [
         job.account,
         job.jobClass,
@@ -37,17 +45,17 @@
         job.memoryMbPerAccelerator,
         job.repeatable,
         magnitude,
-        failed,
+        ownBucketId,
     ].join("|");
 }
 
 export function createJobQueue(predict: (job: queuedJob.QueuedJob) => number): JobQueue {
     const buckets = new Map<string, Bucket>();
-    const byAccount = new Map<string, Map<string, Bucket>>();
+    const bucketsByAccount = new Map<string, Map<string, Bucket>>();
     const bucketByJob = new Map<string, Bucket>();
     const counts = new Map<string, number>();
     const getCountKey = (account: string, jobClass: string) => `${account}\n${jobClass}`;
-    const count = (job: queuedJob.QueuedJob, by: number) => {
+    const updateCount = (job: queuedJob.QueuedJob, by: number) => {
         const key = getCountKey(job.account, job.jobClass);
         counts.set(key, (counts.get(key) ?? 0) + by);
     };
@@ -55,9 +63,9 @@
     const createBucket = (key: string, account: string): Bucket => {
         const bucket: Bucket = { key, account, jobs: new Map() };
         buckets.set(key, bucket);
-        const ofAccount = byAccount.get(account) ?? new Map<string, Bucket>();
-        ofAccount.set(key, bucket);
-        byAccount.set(account, ofAccount);
+        const accountBuckets = bucketsByAccount.get(account) ?? new Map<string, Bucket>();
+        accountBuckets.set(key, bucket);
+        bucketsByAccount.set(account, accountBuckets);
         return bucket;
     };
 
@@ -70,7 +78,7 @@
             const bucket = buckets.get(key) ?? createBucket(key, job.account);
             bucket.jobs.set(job.jobId, job);
             bucketByJob.set(job.jobId, bucket);
-            count(job, 1);
+            updateCount(job, 1);
         },
         remove: jobId => {
             const bucket = bucketByJob.get(jobId);
@@ -80,16 +88,16 @@
             }
             bucket.jobs.delete(jobId);
             bucketByJob.delete(jobId);
-            count(job, -1);
+            updateCount(job, -1);
             if (bucket.jobs.size === 0) {
                 buckets.delete(bucket.key);
-                byAccount.get(bucket.account)?.delete(bucket.key);
+                bucketsByAccount.get(bucket.account)?.delete(bucket.key);
             }
             return job;
         },
         get: jobId => bucketByJob.get(jobId)?.jobs.get(jobId),
         getBuckets: () => buckets.values(),
-        getAccountBuckets: account => byAccount.get(account)?.values() ?? [],
+        getAccountBuckets: account => bucketsByAccount.get(account)?.values() ?? [],
         getCount: (account, jobClass) => counts.get(getCountKey(account, jobClass)) ?? 0,
         size: () => bucketByJob.size,
         getJobs: function*() {
@@ -100,7 +108,7 @@
     };
 }
 
-/** The oldest job of a bucket. */
+/** The job that was added to the bucket first. */
 export function getHead(bucket: Bucket): queuedJob.QueuedJob | undefined {
     for (const job of bucket.jobs.values()) {
         return job;
--- a/src/queue/queuedJob.ts
+++ b/src/queue/queuedJob.ts
@@ -1,4 +1,4 @@
-/** A job as the scheduler sees it. */
+/** A job's properties that the scheduler uses. */
 import type * as configuration from "../configuration/index";
 
 export interface QueuedJob {
@@ -9,22 +9,22 @@
     readonly adjacency: configuration.Adjacency;
     readonly cpusPerAccelerator: number;
     readonly memoryMbPerAccelerator: number;
-    /** May be stopped and continued, or run again. */
+    /** Whether the job may be stopped and resumed, or run again. */
     readonly repeatable: boolean;
-    /** What the caller said it would run, in milliseconds. */
+    /** Run time that the caller declared, in milliseconds; `undefined` for none. */
     readonly declaredMs: number | undefined;
-    /** Monotonic time of acceptance. */
+    /** Monotonic time at which the job was accepted. */
     readonly queuedAt: number;
-    /** Monotonic time by which it must have started; undefined for none. */
+    /** Monotonic time by which the job must have started; `undefined` for none. */
     readonly startBy: number | undefined;
-    /** Work saved by checkpoints, in milliseconds. */
+    /** Run time saved by checkpoints, in milliseconds. */
     savedMs: number;
-    /** Number of the latest attempt; 0 before the first. */
+    /** Number of the latest attempt, from 1; 0 before the first. */
     attempt: number;
-    /** Workers it failed on. */
+    /** Workers on which the job failed. */
     readonly failedWorkers: Set<string>;
-    /** Failures so far, repeated ones on the same worker included. */
+    /** Number of failures, including repeated ones on the same worker. */
     failures: number;
-    /** Monotonic time of the latest failure; undefined for none. */
+    /** Monotonic time of the latest failure; `undefined` for none. */
     failedAt: number | undefined;
 }
--- a/src/queue/recorder.ts
+++ b/src/queue/recorder.ts
@@ -1,4 +1,7 @@
-/** Writes what became of jobs, however long the table service is away, and answers those who wait for it. */
+/**
+ * Writes outcomes and progress of jobs to their rows; outcomes are retried for as long as the table service is
+ * unavailable.
+ */
 import * as platform from "../backing/index";
 import type * as clock from "../clock/index";
 import * as jobs from "../jobs/index";
@@ -7,11 +10,11 @@
 
 export interface Recorder {
     /**
-     * Records the outcome. Resolves once the row says so (or says something else that was recorded first), or with
-     * undefined when another owner moved the job on meanwhile or the signal was aborted.
+     * Records the outcome. Resolves with the ended row, which holds another outcome if that was recorded first, or with
+     * `undefined` when another owner has changed the job meanwhile or the signal was aborted.
      */
     recordEnd(entry: queueEntry.QueueEntry, outcome: jobs.JobOutcome): Promise<jobs.JobRow | undefined>;
-    /** Writes progress once; failure only loses the progress. */
+    /** Writes progress once, without retries: a failed write loses only the progress. */
     recordProgress(entry: queueEntry.QueueEntry, change: Partial<jobs.JobRow>): Promise<void>;
 }
 
--- a/src/queue/rowReader.ts
+++ b/src/queue/rowReader.ts
@@ -1,4 +1,6 @@
-/** Takes jobs of a zone in from the store: all of them at first, later those that are named or were overlooked. */
+/**
+ * Loads a zone's jobs from the store: all of them at startup, later single jobs by id and those whose notice was lost.
+ */
 import type * as platform from "../backing/index";
 import type * as clock from "../clock/index";
 import type * as jobs from "../jobs/index";
@@ -13,17 +15,22 @@
     readonly retry: platform.RetryPolicy;
     readonly signal: AbortSignal;
     readonly entries: ReadonlyMap<string, queueEntry.QueueEntry>;
+    /** Adds an unfinished job of the zone to the queue. */
     admit(stored: jobs.VersionedRow): void;
-    /** The job is not, or no longer, this zone's. */
-    settle(jobId: string): void;
+    /** Called when the job has ended, does not exist or belongs to another zone. */
+    markClosed(jobId: string): void;
+    /** Called when the row says that the job has ended. */
     announceEnd(jobId: string): void;
 }
 
 export interface RowReader {
-    /** Resolves when all jobs of the zone are taken in, or the signal is aborted. */
+    /** Retries until all jobs of the zone are loaded. Resolves then, or when the signal is aborted. */
     load(): Promise<void>;
+    /** Whether `load` has read all jobs of the zone. */
     isLoaded(): boolean;
+    /** Reads one job's row and admits the job if it is an unfinished one of this zone. */
     readNew(jobId: string): Promise<void>;
+    /** Reads all jobs of the zone's queue that have no entry. */
     rescan(): Promise<void>;
 }
 
@@ -50,7 +57,7 @@
 
     const reading = new Set<string>();
 
-    /** Takes in a job that was submitted, moved here, or is only known from a report of its tasks. */
+    /** Loads a job that was submitted, moved here, or is only known from a report of its tasks. */
     const readNew = async (jobId: string): Promise<void> => {
         if (reading.has(jobId)) {
             return;
@@ -66,13 +73,13 @@
             admit(value);
             return;
         }
-        options.settle(jobId);
+        options.markClosed(jobId);
         if (value?.row.state === "ended") {
             options.announceEnd(jobId);
         }
     };
 
-    /** Finds jobs whose notice was lost: they are recorded as accepted, and nobody else will start them. */
+    /** Finds accepted jobs whose notice was lost; no other instance would start them. */
     const rescan = async (): Promise<void> => {
         const ids = await store.readQueueIds(zone);
         for (const jobId of ids ?? []) {
--- a/src/queue/scheduler.ts
+++ b/src/queue/scheduler.ts
@@ -1,6 +1,6 @@
 /**
- * Decides which waiting job starts where, and which borrowed work gives way. It is synchronous and keeps no connection:
- * the zone's queue feeds it events and carries out its decisions, and scenarios and benchmarks drive the same code.
+ * Decides which waiting job starts where, and which borrowed work is evicted. It is synchronous and does no I/O: the
+ * zone queue passes events to it and carries out its decisions, and scenarios and benchmarks run the same code.
  */
 import type * as clock from "../clock/index";
 import type * as configuration from "../configuration/index";
@@ -11,75 +11,83 @@
 import * as predictor from "./predictor";
 import type * as queuedJob from "./queuedJob";
 
+/** An action that the owner of the queue carries out. */
 export type Decision =
     | { readonly kind: "start"; readonly job: queuedJob.QueuedJob; readonly members: readonly placement.Member[]; }
     /** Stop the job's tasks with a checkpoint and queue it again. */
     | { readonly kind: "evict"; readonly jobId: string; readonly cause: EvictionCause; };
 
-/** Why borrowed work is stopped. */
+/** Why a running job is evicted. */
 export type EvictionCause = "reclaim" | "urgent" | "overrun" | "patience" | "maintenance" | "consolidate";
 
+/** A job that holds resources, and where its tasks are placed. */
 export interface RunningJob {
     readonly job: queuedJob.QueuedJob;
     readonly members: readonly placement.Member[];
     /** Monotonic time at which it was placed. */
     readonly startedAt: number;
-    /** An eviction was decided and is under way. */
+    /** Whether an eviction has been decided and has not finished. */
     evicting: boolean;
 }
 
+/** The scheduling state of one zone. */
 export interface Scheduler {
     readonly books: placement.Fleet;
     readonly queue: jobQueue.JobQueue;
     readonly running: ReadonlyMap<string, RunningJob>;
     readonly predictor: predictor.Predictor;
-    /** Terms of the configuration in force. */
+    /** Replaces what the scheduler uses of the current configuration. */
     setTerms(terms: SchedulerTerms): void;
+    /** Queues a job. */
     add(job: queuedJob.QueuedJob): void;
-    /** Takes a waiting job out; `undefined` when it does not wait. */
+    /** Removes a waiting job and its hold; returns `undefined` when the job is not waiting. */
     remove(jobId: string): queuedJob.QueuedJob | undefined;
-    /** Books a job that runs already, for instance one started by an earlier owner of the queue. */
+    /** Registers a job that already runs, for example one started by a previous owner of the queue. */
     adopt(job: queuedJob.QueuedJob, members: readonly placement.Member[], ranMs: number): void;
-    /** One member of a running job has ended and its resources are free. */
+    /** Frees the resources of one member of a running job that has ended. */
     endMember(jobId: string, index: number): void;
-    /** All members have ended: the job leaves the running ones. `ranMs` teaches the predictor when given. */
+    /**
+     * Removes a running job whose members have all ended. The predictor learns from `ranMs`, in milliseconds, unless it
+     * is `undefined`.
+     */
     end(jobId: string, ranMs: number | undefined): RunningJob | undefined;
-    /** Jobs that wait for a place that is kept for them, and why. */
+    /** Jobs for which a place is held, and the kind of the hold. */
     getHeld(): ReadonlyArray<{ readonly jobId: string; readonly kind: decisionState.Hold["kind"]; }>;
-    /** Whether work is being stopped to make a place for the job: it must not be moved to another queue then. */
+    /** Whether work is being stopped to make room for the job; the job must not be moved to another queue then. */
     isPlaceKept(jobId: string): boolean;
-    /** The decisions that are due now; jobs to start are booked and taken from the queue. */
+    /** Runs one pass. Jobs to start are already removed from the queue and registered as running. */
     decide(): Decision[];
 }
 
+/** What the scheduler uses of the configuration. */
 export interface SchedulerTerms {
     readonly policy: configuration.Policy;
     readonly accounts: readonly configuration.Account[];
     readonly homes: readonly placement.HomePart[];
-    /** Workers that take no new work and lose what can be moved. */
+    /** Workers that take no new work and from which evictable tasks are removed. */
     readonly drained: ReadonlySet<string>;
 }
 
 export function createScheduler(time: clock.Clock, shapes: readonly placement.WorkerShape[]): Scheduler {
-    const books = placement.createFleet(shapes);
-    const learned = predictor.createPredictor();
-    const queue = jobQueue.createJobQueue(job => learned.predict(job.account, job.jobClass, job.declaredMs));
+    const fleet = placement.createFleet(shapes);
+    const runTimePredictor = predictor.createPredictor();
+    const queue = jobQueue.createJobQueue(job => runTimePredictor.predict(job.account, job.jobClass, job.declaredMs));
     const running = new Map<string, RunningJob>();
     const state: decisionState.DecisionState = {
-        books,
+        fleet: fleet,
         queue,
         running,
-        predictor: learned,
+        predictor: runTimePredictor,
         terms: { policy: { kind: "fifoFirstFit" }, accounts: [], homes: [], drained: new Set() },
         accountsByName: new Map(),
         held: new Map(),
         consolidatedAt: 0,
     };
 
-    const book = (job: queuedJob.QueuedJob, members: readonly placement.Member[], startedAt: number) => {
+    const addRunning = (job: queuedJob.QueuedJob, members: readonly placement.Member[], startedAt: number) => {
         const predictedEndAt = startedAt + decisionState.getRemainingMs(state, job);
         for (const [index, member] of members.entries()) {
-            books.addTask(member.workerId, {
+            fleet.addTask(member.workerId, {
                 taskId: getTaskId(job.jobId, job.attempt, index),
                 jobId: job.jobId,
                 account: job.account,
@@ -97,19 +105,19 @@
         const entry = running.get(jobId);
         const member = entry?.members[index];
         if (entry && member) {
-            books.removeTask(member.workerId, getTaskId(jobId, entry.job.attempt, index));
+            fleet.removeTask(member.workerId, getTaskId(jobId, entry.job.attempt, index));
         }
     };
 
     return {
-        books,
+        books: fleet,
         queue,
         running,
-        predictor: learned,
+        predictor: runTimePredictor,
         setTerms: terms => {
             state.terms = terms;
             state.accountsByName = new Map(terms.accounts.map(account => [account.name, account]));
-            books.setHomes(terms.homes);
+            fleet.setHomes(terms.homes);
         },
         add: job => queue.add(job),
         remove: jobId => {
@@ -118,7 +126,7 @@
         },
         adopt: (job, members, ranMs) => {
             queue.remove(job.jobId);
-            book(job, members, time.now() - ranMs);
+            addRunning(job, members, time.now() - ranMs);
         },
         getHeld: () => [...state.held].map(([jobId, hold]) => ({ jobId, kind: hold.kind })),
         isPlaceKept: jobId => {
@@ -137,7 +145,7 @@
             running.delete(jobId);
             if (ranMs !== undefined) {
                 const { account, jobClass, declaredMs, savedMs } = entry.job;
-                learned.learn(account, jobClass, declaredMs, savedMs + ranMs);
+                runTimePredictor.learn(account, jobClass, declaredMs, savedMs + ranMs);
             }
             return entry;
         },
@@ -147,7 +155,7 @@
                 queue.remove(job.jobId);
                 decisionState.dropHold(state, job.jobId);
                 job.attempt++;
-                book(job, members, time.now());
+                addRunning(job, members, time.now());
                 decisions.push({ kind: "start", job, members });
             };
             const evict = (jobId: string, cause: EvictionCause) => {
@@ -163,7 +171,7 @@
     };
 }
 
-/** The id of one task of an attempt; the worker refuses an id that it knows, so an attempt never runs twice there. */
+/** The id of one task of an attempt. A worker refuses an id that it knows, so an attempt never runs twice on it. */
 export function getTaskId(jobId: string, attempt: number, index: number): string {
     return `${jobId}.${attempt}.${index}`;
 }
--- a/src/queue/zoneQueue.ts
+++ b/src/queue/zoneQueue.ts
@@ -1,6 +1,6 @@
 /**
- * The owner of a zone's queue: loads the unfinished jobs, decides with the scheduler, runs one attempt for each placed job,
- * and follows the reports of the zone's racks.
+ * The queue of one zone on the instance that owns it: loads the unfinished jobs, runs scheduling passes, runs one
+ * attempt for each placed job, and processes the reports of the zone's racks.
  */
 import * as async from "../async/index";
 import * as platform from "../backing/index";
@@ -24,13 +24,20 @@
 import * as schedulerModule from "./scheduler";
 import * as zoneViews from "./zoneViews";
 
+/** The queue of one zone. */
 export interface ZoneQueue {
     readonly zone: string;
-    /** Owns the queue until the signal is aborted; running tasks go on and are adopted by the next owner. */
+    /** Runs the queue until the signal is aborted. Running tasks continue and are adopted by the next owner. */
     own(signal: AbortSignal): Promise<void>;
+    /** Processes a report of one of the zone's racks. */
     handleReport(report: peer.RackReport): peer.RackReportReply;
+    /**
+     * Handles a submission or cancellation; waits up to `waitMs` milliseconds for the job's end when that is positive.
+     */
     handleNotice(notice: peer.JobNotice): Promise<peer.JobNoticeReply>;
+    /** The load that other instances use to choose a zone. */
     getLoad(): peer.ZoneLoad;
+    /** The status that operators see. */
     getStatus(): zoneViews.ZoneStatus;
 }
 
@@ -44,21 +51,22 @@
     readonly leases: workers.LeaseTimes;
     readonly store: jobs.JobStore;
     readonly getConfiguration: () => configuration.Configuration;
-    /** Workers that the platform lists as leaving. */
+    /** Whether the platform lists the worker as leaving. */
     readonly isLeaving: (workerId: string) => boolean;
     readonly command: attemptModule.AttemptOptions["command"];
-    /** A zone that could take the job now, by what its queue owner last said; undefined for none. */
+    /** A zone that has room for the job according to its queue owner's latest load; `undefined` for none. */
     readonly findOtherZone: (job: { readonly account: string; readonly accelerators: number; }) => string | undefined;
-    /** Tells the owner of a queue that a job was moved to it. */
+    /** Notifies the owner of a zone's queue that a job was moved to it. */
     readonly notifyMoved: (zone: string, jobId: string) => void;
 }
 
-/** A decision pass follows an event after this long, so that events that come together share one. */
+/** Delay between an event and the scheduling pass, so that events in quick succession share one pass. */
 const PASS_DELAY_MS = 5;
-const HOUSEKEEPING_MS = 1000;
-/** How long a new owner waits for the reports of all racks before it decides. */
-const FIRST_REPORTS_MS = 4000;
-const RESCAN_ROUNDS = 10;
+const HOUSEKEEPING_INTERVAL_MS = 1000;
+/** Maximum time that a new owner waits for the first reports of all racks before its first pass. */
+const FIRST_REPORTS_TIMEOUT_MS = 4000;
+/** The zone's rows are read again once in this many housekeeping rounds. */
+const RESCAN_INTERVAL_ROUNDS = 10;
 
 export function createZoneQueue(options: ZoneQueueOptions): ZoneQueue {
     const { zone, clock: time, counters, log, store } = options;
@@ -67,7 +75,7 @@
     const stopped = async.createAbortController();
     const scheduler = schedulerModule.createScheduler(time, zoneViews.getShapes(options.getConfiguration(), zone));
     const view: zoneViews.ZoneView = { zone, entries, scheduler, getConfiguration: options.getConfiguration };
-    let wakePass = async.createDeferred();
+    let passRequested = async.createDeferred();
     let unplacedBlocks = 0;
 
     const health = workers.createWorkerHealth({
@@ -75,9 +83,9 @@
         workerCount: scheduler.books.workers.size,
         onSetAside: worker => {
             counters.increment("queue.workersSetAside");
-            log.warn("worker set aside by its failures", { zone, worker });
+            log.warn("worker quarantined after failures", { zone, worker });
         },
-        onBack: worker => log.info("worker back", { zone, worker }),
+        onBack: worker => log.info("worker quarantine ended", { zone, worker }),
     });
     const recorder = recorderModule.createRecorder({
         store,
@@ -91,7 +99,7 @@
         signal: stopped.signal,
         entries,
         admit: stored => admit(stored),
-        settle: jobId => rackReports.settle(jobId),
+        markClosed: jobId => rackReports.markClosed(jobId),
         announceEnd: waiters.announce,
     });
     const attempts = attemptModule.createAttemptRunner({
@@ -105,7 +113,7 @@
         command: options.command,
         onMemberEnd: (entry, index) => {
             scheduler.endMember(entry.job.jobId, index);
-            wakePass.resolve();
+            passRequested.resolve();
         },
     });
     const rackReports = reports.createRackReports({
@@ -113,14 +121,16 @@
         entries,
         counters,
         isLoaded: reader.isLoaded,
-        onUnknownJob: jobId => run(reader.readNew(jobId)),
+        onUnknownJob: jobId => runInBackground(reader.readNew(jobId)),
         onOrphan: (rackId, task) => {
             counters.increment("queue.orphansStopped");
             const action: peer.TaskCommand["action"] = {
                 $case: "stop",
                 value: { taskId: task.taskId, mode: "tombstone" },
             };
-            run(options.command({ rackId, commands: [{ workerId: task.workerId, action }] }).then(() => undefined));
+            runInBackground(
+                options.command({ rackId, commands: [{ workerId: task.workerId, action }] }).then(() => undefined),
+            );
         },
     });
 
@@ -136,7 +146,7 @@
     const finish = async (entry: queueEntry.QueueEntry, outcome: jobs.JobOutcome) => {
         entry.active = true;
         const row = await recorder.recordEnd(entry, outcome);
-        rackReports.settle(entry.job.jobId);
+        rackReports.markClosed(entry.job.jobId);
         entries.delete(entry.job.jobId);
         if (row) {
             announceEnd(row);
@@ -146,16 +156,16 @@
     const requeue = (entry: queueEntry.QueueEntry) => {
         entry.active = false;
         entry.reports.clear();
-        if (entry.wish === "cancel") {
-            run(finish(entry, outcomes.cancelled()));
+        if (entry.requestedAction === "cancel") {
+            runInBackground(finish(entry, outcomes.cancelled()));
             return;
         }
-        entry.wish = "run";
+        entry.requestedAction = "run";
         scheduler.add(entry.job);
-        wakePass.resolve();
+        passRequested.resolve();
     };
 
-    /** Another owner, or a canceller, wrote the row: take over what it says. */
+    /** Replaces the entry after another instance has written the job's row. */
     const replace = (entry: queueEntry.QueueEntry, found: jobs.VersionedRow | undefined) => {
         entries.delete(entry.job.jobId);
         if (found && found.row.state !== "ended" && found.row.zone === zone) {
@@ -177,17 +187,17 @@
         finish: (entry, outcome) => finish(entry, outcome),
         requeue,
         replace,
-        workersChanged: () => refreshWorkers(),
-        wake: () => wakePass.resolve(),
+        onWorkersChanged: () => refreshWorkers(),
+        requestPass: () => passRequested.resolve(),
     });
 
     const startAttempt = (entry: queueEntry.QueueEntry, begin: () => Promise<attemptModule.AttemptEnd>) => {
         entry.active = true;
         entry.reports.clear();
-        run(begin().then(end => stopped.signal.aborted ? undefined : handleEnd(entry, end)));
+        runInBackground(begin().then(end => stopped.signal.aborted ? undefined : handleEnd(entry, end)));
     };
 
-    /** Takes in a row that was read or has just been written. */
+    /** Adds a row that was read: adopts its attempt if the job is placed on known workers, or queues the job. */
     const admit = (stored: jobs.VersionedRow): queueEntry.QueueEntry => {
         const entry = queueEntry.createEntry(stored, toMonotonic, time.now());
         entries.set(entry.job.jobId, entry);
@@ -201,7 +211,7 @@
         else {
             scheduler.add(entry.job);
         }
-        wakePass.resolve();
+        passRequested.resolve();
         return entry;
     };
 
@@ -216,7 +226,7 @@
                 && !options.isLeaving(worker.id);
             if (usable !== worker.usable) {
                 scheduler.books.setUsable(worker.id, usable);
-                wakePass.resolve();
+                passRequested.resolve();
             }
         }
     };
@@ -240,10 +250,10 @@
             homes: plan.parts,
             drained: new Set(preset.drainedWorkers),
         });
-        wakePass.resolve();
+        passRequested.resolve();
     };
 
-    const carryOut = (decision: schedulerModule.Decision) => {
+    const applyDecision = (decision: schedulerModule.Decision) => {
         switch (decision.kind) {
             case "start": {
                 const entry = entries.get(decision.job.jobId);
@@ -254,22 +264,24 @@
             }
             case "evict": {
                 const entry = entries.get(decision.jobId);
-                if (entry && entry.wish === "run") {
+                if (entry && entry.requestedAction === "run") {
                     counters.increment(`jobs.evicted.${decision.cause}`);
-                    entry.wish = "evict";
-                    queueEntry.wakeEntry(entry);
+                    entry.requestedAction = "evict";
+                    queueEntry.notifyEntryChanged(entry);
                 }
                 return;
             }
         }
     };
 
-    const expire = () => {
+    const expireJobs = () => {
         const now = time.now();
         for (const job of [...scheduler.queue.getJobs()]) {
             if (job.startBy !== undefined && job.startBy <= now && scheduler.remove(job.jobId)) {
                 const message = "the job could not start before its deadline";
-                run(finish(entries.get(job.jobId)!, outcomes.notRun(result.ResultCode.DeadlineTooSoon, message)));
+                runInBackground(
+                    finish(entries.get(job.jobId)!, outcomes.notRun(result.ResultCode.DeadlineTooSoon, message)),
+                );
             }
         }
     };
@@ -280,10 +292,10 @@
         entries,
         requeue,
         replace,
-        run: work => run(work),
+        run: work => runInBackground(work),
     });
 
-    const run = (work: Promise<void>) => {
+    const runInBackground = (work: Promise<void>) => {
         work.catch(err => {
             counters.increment("queue.faults");
             log.error("queue task failed", { zone, cause: result.getErrorMessage(err) });
@@ -292,11 +304,11 @@
 
     const decideLoop = async () => {
         const racks = scheduler.books.racks.map(rack => rack.id);
-        const decideAt = time.now() + FIRST_REPORTS_MS;
+        const decideAt = time.now() + FIRST_REPORTS_TIMEOUT_MS;
         while (!stopped.signal.aborted) {
-            await Promise.race([wakePass.promise, time.sleep(HOUSEKEEPING_MS, stopped.signal)]);
+            await Promise.race([passRequested.promise, time.sleep(HOUSEKEEPING_INTERVAL_MS, stopped.signal)]);
             await time.sleep(PASS_DELAY_MS, stopped.signal);
-            wakePass = async.createDeferred();
+            passRequested = async.createDeferred();
             refreshWorkers();
             refreshTerms();
             const isComplete = racks.every(rackReports.hasReported);
@@ -304,29 +316,29 @@
                 continue;
             }
             for (const decision of scheduler.decide()) {
-                carryOut(decision);
+                applyDecision(decision);
             }
         }
     };
 
     const housekeep = async () => {
         for (let round = 1; !stopped.signal.aborted; round++) {
-            await time.sleep(HOUSEKEEPING_MS, stopped.signal);
-            expire();
+            await time.sleep(HOUSEKEEPING_INTERVAL_MS, stopped.signal);
+            expireJobs();
             moveWaiting();
-            if (round % RESCAN_ROUNDS === 0) {
-                run(reader.rescan());
+            if (round % RESCAN_INTERVAL_ROUNDS === 0) {
+                runInBackground(reader.rescan());
             }
         }
     };
 
     const cancel = (entry: queueEntry.QueueEntry) => {
         if (scheduler.remove(entry.job.jobId)) {
-            run(finish(entry, outcomes.cancelled()));
+            runInBackground(finish(entry, outcomes.cancelled()));
             return;
         }
-        entry.wish = "cancel";
-        queueEntry.wakeEntry(entry);
+        entry.requestedAction = "cancel";
+        queueEntry.notifyEntryChanged(entry);
     };
 
     const getState = (jobId: string): string => {
@@ -344,11 +356,11 @@
         zone,
         own: async signal => {
             signal.addEventListener("abort", () => stopped.abort(), { once: true });
-            log.info("queue taken", { zone });
+            log.info("queue ownership acquired", { zone });
             counters.increment("queues.taken");
             await reader.load();
             await Promise.all([decideLoop(), housekeep()]);
-            log.info("queue given up", { zone });
+            log.info("queue ownership released", { zone });
         },
         handleReport: report => {
             const reply = rackReports.handle(report);
--- a/src/queue/zoneViews.ts
+++ b/src/queue/zoneViews.ts
@@ -1,22 +1,24 @@
-/** A zone's queue as operators and the owners of other queues see it. */
+/** Status of a zone's queue for operators, and its load for the owners of other queues. */
 import type * as configuration from "../configuration/index";
 import type * as peer from "../peer/index";
 import * as placement from "../placement/index";
 import type * as queueEntry from "./entry";
 import type * as schedulerModule from "./scheduler";
 
+/** The status of a zone's queue for operators. */
 export interface ZoneStatus {
     readonly zone: string;
     readonly waiting: number;
     readonly running: number;
     readonly freeAccelerators: number;
     readonly fragmentation: number;
-    /** Guaranteed blocks that have no home at the moment. */
+    /** Number of guaranteed blocks that the current plan could not place. */
     readonly unplacedBlocks: number;
     /** Accelerators in use by account. */
     readonly useByAccount: Readonly<Record<string, number>>;
 }
 
+/** What load and status are computed from. */
 export interface ZoneView {
     readonly zone: string;
     readonly entries: ReadonlyMap<string, queueEntry.QueueEntry>;
@@ -24,6 +26,7 @@
     readonly getConfiguration: () => configuration.Configuration;
 }
 
+/** The zone's load: free resources and waiting work, by account where it matters for the choice of a zone. */
 export function getLoad(view: ZoneView): peer.ZoneLoad {
     let waitingWorkMs = 0;
     const waiting: Record<string, number> = {};
@@ -52,6 +55,7 @@
     };
 }
 
+/** The zone's status; `unplacedBlocks` is taken from the current guarantee plan. */
 export function getStatus(view: ZoneView, unplacedBlocks: number): ZoneStatus {
     const { accounts } = view.getConfiguration().contracts;
     const free = view.scheduler.books.getFreeAccelerators();
@@ -60,13 +64,13 @@
         waiting: view.scheduler.queue.size(),
         running: view.scheduler.running.size,
         freeAccelerators: free,
-        fragmentation: placement.getFragmentation(free, view.scheduler.books.getWholeFreeAccelerators()),
+        fragmentation: placement.getFragmentation(free, view.scheduler.books.getFullyFreeAccelerators()),
         unplacedBlocks,
         useByAccount: Object.fromEntries(accounts.map(item => [item.name, view.scheduler.books.getUse(item.name)])),
     };
 }
 
-/** The workers of a zone, with what queued work may take of each. */
+/** The workers of a zone, each with its capacity for queued tasks: without the reserve for interactive requests. */
 export function getShapes(current: configuration.Configuration, zone: string): placement.WorkerShape[] {
     const reserve = current.contracts.limits.interactiveReserve;
     return current.topology.racks.flatMap((rack, rackIndex) =>
