--- a/src/placement/consolidate.ts
+++ b/src/placement/consolidate.ts
@@ -14,6 +14,7 @@
     readonly to: fleetModule.FleetWorker;
 }
 
+/** Which tasks may be moved, and how their targets are searched. */
 export interface ConsolidateOptions {
     /** A worker expected to become free by itself in less than this time is not emptied. Milliseconds. */
     readonly minRemainingMs: number;
--- a/src/placement/fleet.ts
+++ b/src/placement/fleet.ts
@@ -293,8 +293,7 @@
 
 /**
  * Monotonic time at which a task is expected to end: as predicted or, once it has overrun, after half the time that it
- * has run so far. Expecting an overrun task to end at once would keep setting reservations to a start time that is not
- * met.
+ * has run so far. Expecting an overrun task to end at once would plan reservations for a start time that is not met.
  */
 export function getExpectedEnd(task: PlacedTask, now: number): number {
     return task.predictedEndAt > now ? task.predictedEndAt : now + (now - task.placedAt) / 2;
--- a/src/placement/needs.ts
+++ b/src/placement/needs.ts
@@ -4,8 +4,10 @@
 /** Amounts of each resource: needed by a task, or of a worker's capacity. */
 export type Needs = workers.TaskNeeds;
 
+/** Zero of every resource. */
 export const NO_NEEDS: Needs = { accelerators: 0, slots: 0, cpus: 0, memoryMb: 0 };
 
+/** The sum of two amounts. */
 export function addNeeds(a: Needs, b: Needs): Needs {
     return {
         accelerators: a.accelerators + b.accelerators,
@@ -15,6 +17,7 @@
     };
 }
 
+/** The difference of two amounts; a resource may become negative. */
 export function subtractNeeds(a: Needs, b: Needs): Needs {
     return {
         accelerators: a.accelerators - b.accelerators,
@@ -24,6 +27,7 @@
     };
 }
 
+/** All resources multiplied by a factor. */
 export function scaleNeeds(needs: Needs, factor: number): Needs {
     return {
         accelerators: needs.accelerators * factor,
--- a/src/placement/plan.ts
+++ b/src/placement/plan.ts
@@ -1,6 +1,5 @@
 /**
- * The guarantee plan: assigns each block that a preset guarantees to accelerators of specific workers, the block's
- * home.
+ * The guarantee plan: assigns to each block that a preset guarantees its home: accelerators of specific workers.
  *
  * The plan is a pure function of the preset, the topology and the set of unavailable workers, so that all instances
  * compute the same one. Ties are broken by rendezvous hashing of block and worker, so that the loss of a worker moves
--- a/src/placement/reclaim.ts
+++ b/src/placement/reclaim.ts
@@ -3,8 +3,7 @@
  * only within the resources that are not part of any home.
  *
  * Without it, a task that cannot be stopped without losing work could be placed on another account's home and block
- * that account's guaranteed placement for as long as it runs. This would show as `reclaim` times above the grace
- * period.
+ * that account's guaranteed jobs for as long as it runs. This would show as `reclaim` times above the grace period.
  */
 import type * as fleetModule from "./fleet";
 import * as needs from "./needs";
--- a/src/queue/attempt.ts
+++ b/src/queue/attempt.ts
@@ -44,6 +44,7 @@
     adopt(entry: queueEntry.QueueEntry, members: queueEntry.Members): Promise<AttemptEnd>;
 }
 
+/** What the attempts of a zone's jobs use. */
 export interface AttemptOptions {
     readonly store: jobs.JobStore;
     readonly clock: clock.Clock;
@@ -63,6 +64,7 @@
 /** Delay before a start or stop command is sent again. */
 const STOP_RETRY_MS = 200;
 
+/** Creates the runner; aborting `options.signal` ends all attempts without stopping their tasks. */
 export function createAttemptRunner(options: AttemptOptions): AttemptRunner {
     const { store, clock: time, counters, signal } = options;
 
@@ -78,8 +80,7 @@
             byRack.set(rackId, [...byRack.get(rackId) ?? [], index]);
         }
         const results = new Map<number, peer.CommandResult["result"]>();
-        // Racks are called in the same order everywhere, so that two gangs do not each hold half of the racks both
-        // need.
+        // Racks are called in the same order everywhere, so that two gangs do not each hold half of their common racks.
         const racks = [...byRack].sort(([a], [b]) => a < b ? -1 : 1);
         await Promise.all(racks.map(async ([rackId, rackIndexes]) => {
             const commands = rackIndexes.map(index => ({
--- a/src/queue/attemptEnds.ts
+++ b/src/queue/attemptEnds.ts
@@ -10,6 +10,7 @@
 import type * as recorderModule from "./recorder";
 import type * as schedulerModule from "./scheduler";
 
+/** What the handling of ended attempts uses and calls. */
 export interface AttemptEndsOptions {
     readonly clock: clock.Clock;
     readonly counters: observe.Counters;
@@ -30,6 +31,7 @@
     requestPass(): void;
 }
 
+/** Handles the ends of attempts. */
 export interface AttemptEnds {
     handleEnd(entry: queueEntry.QueueEntry, end: attemptModule.AttemptEnd): Promise<void>;
 }
--- a/src/queue/decisionState.ts
+++ b/src/queue/decisionState.ts
@@ -28,10 +28,7 @@
     readonly startAt: number;
     /** Monotonic time at which the hold was created. */
     readonly createdAt: number;
-    /**
-     * The exact placement when work is stopped for the job; `undefined` for a reservation, which decides it at the
-     * start.
-     */
+    /** The exact placement when work is stopped for the job; `undefined` for a reservation, until the job starts. */
     readonly members: readonly placement.Member[] | undefined;
 }
 
@@ -104,6 +101,7 @@
     }
 }
 
+/** The number of holds of a kind. */
 export function countHolds(state: DecisionState, kind: Hold["kind"]): number {
     let count = 0;
     for (const item of state.held.values()) {
--- a/src/queue/jobMoves.ts
+++ b/src/queue/jobMoves.ts
@@ -6,6 +6,7 @@
 import type * as queueEntry from "./entry";
 import type * as schedulerModule from "./scheduler";
 
+/** What the moves of waiting jobs use and call. */
 export interface JobMovesOptions {
     readonly clock: clock.Clock;
     readonly counters: observe.Counters;
@@ -24,6 +25,7 @@
     run(work: Promise<void>): void;
 }
 
+/** Moves of waiting jobs to other zones. */
 export interface JobMoves {
     /** Starts the moves that are due. */
     moveWaiting(): void;
--- a/src/queue/jobQueue.ts
+++ b/src/queue/jobQueue.ts
@@ -33,8 +33,7 @@
  */
 export function getBucketKey(job: queuedJob.QueuedJob, predictedMs: number): string {
     const magnitude = Math.round(Math.log2(Math.max(1000, predictedMs)));
-    // A job that failed somewhere excludes workers. In a bucket of its own it does not block the others when it does
-    // not fit.
+    // A job that failed excludes workers. In a bucket of its own it does not block others when it does not fit.
     const ownBucketId = job.failedWorkers.size > 0 ? job.jobId : "";
     return [
         job.account,
@@ -49,6 +48,7 @@
     ].join("|");
 }
 
+/** Creates an empty queue; `predict` returns a job's expected run time in milliseconds. */
 export function createJobQueue(predict: (job: queuedJob.QueuedJob) => number): JobQueue {
     const buckets = new Map<string, Bucket>();
     const bucketsByAccount = new Map<string, Map<string, Bucket>>();
--- a/src/queue/largeJobs.ts
+++ b/src/queue/largeJobs.ts
@@ -25,10 +25,7 @@
     }
 }
 
-/**
- * Reserves the workers that are expected to be free first. Returns false when no group that can be reserved is large
- * enough.
- */
+/** Reserves the workers expected to be free first; returns false when no reservable group is large enough. */
 export function reserve(state: decisionState.DecisionState, job: queuedJob.QueuedJob, now: number): boolean {
     const place = placement.findReservation(state.fleet, decisionState.createRequest(state, job, now), now);
     if (!place) {
@@ -42,8 +39,8 @@
 
 /**
  * Bounds the wait of a large job: when it has waited too long, borrowed batch work is stopped for it. Otherwise tasks
- * that outrun their predicted run times could delay its start again and again, and the age of the oldest job would keep
- * growing.
+ * that outrun their predicted run times could delay its start again and again, which shows as a growing age of the
+ * oldest job.
  */
 function preemptForLarge(
     state: decisionState.DecisionState,
--- a/src/queue/predictor.ts
+++ b/src/queue/predictor.ts
@@ -27,6 +27,7 @@
 /** Weight of the newest job in the moving average; the first jobs weigh 1/n. */
 const LEARNING_RATE = 0.1;
 
+/** Creates a predictor that has not learned from any job. */
 export function createPredictor(): Predictor {
     const byKey = new Map<string, RunTimeStats>();
     const getKey = (account: string, jobClass: string) => `${account}\n${jobClass}`;
--- a/src/queue/queuedJob.ts
+++ b/src/queue/queuedJob.ts
@@ -1,6 +1,7 @@
 /** A job's properties that the scheduler uses. */
 import type * as configuration from "../configuration/index";
 
+/** A waiting or running job of a zone. */
 export interface QueuedJob {
     readonly jobId: string;
     readonly account: string;
--- a/src/queue/recorder.ts
+++ b/src/queue/recorder.ts
@@ -1,13 +1,11 @@
-/**
- * Writes outcomes and progress of jobs to their rows; outcomes are retried for as long as the table service is
- * unavailable.
- */
+/** Writes outcomes and progress of jobs to their rows; outcomes are retried until the table service is available. */
 import * as platform from "../backing/index";
 import type * as clock from "../clock/index";
 import * as jobs from "../jobs/index";
 import type * as observe from "../observe/index";
 import type * as queueEntry from "./entry";
 
+/** Writes the rows of jobs. */
 export interface Recorder {
     /**
      * Records the outcome. Resolves with the ended row, which holds another outcome if that was recorded first, or with
--- a/src/queue/reports.ts
+++ b/src/queue/reports.ts
@@ -8,10 +8,7 @@
 
 /** The state of the zone's racks, workers and tasks according to the racks' owners. */
 export interface RackReports {
-    /**
-     * Processes a report; the reply lists the tasks that the rack's owner may forget and the gangs' tasks that are
-     * confirmed.
-     */
+    /** Processes a report; the reply lists the tasks that the rack's owner may forget and those that are confirmed. */
     handle(report: peer.RackReport): peer.RackReportReply;
     /** Whether a report of the rack was ever received. */
     hasReported(rackId: string): boolean;
--- a/src/queue/rowReader.ts
+++ b/src/queue/rowReader.ts
@@ -7,6 +7,7 @@
 import type * as observe from "../observe/index";
 import type * as queueEntry from "./entry";
 
+/** What the reader uses and calls. */
 export interface RowReaderOptions {
     readonly zone: string;
     readonly clock: clock.Clock;
@@ -23,6 +24,7 @@
     announceEnd(jobId: string): void;
 }
 
+/** Loads the jobs of one zone. */
 export interface RowReader {
     /** Retries until all jobs of the zone are loaded. Resolves then, or when the signal is aborted. */
     load(): Promise<void>;
--- a/src/queue/scheduler.ts
+++ b/src/queue/scheduler.ts
@@ -68,6 +68,7 @@
     readonly drained: ReadonlySet<string>;
 }
 
+/** Creates a scheduler without jobs or homes; it places jobs first in, first out until `setTerms` is called. */
 export function createScheduler(time: clock.Clock, shapes: readonly placement.WorkerShape[]): Scheduler {
     const fleet = placement.createFleet(shapes);
     const runTimePredictor = predictor.createPredictor();
--- a/src/queue/zoneQueue.ts
+++ b/src/queue/zoneQueue.ts
@@ -41,6 +41,7 @@
     getStatus(): zoneViews.ZoneStatus;
 }
 
+/** What a zone queue uses of its instance. */
 export interface ZoneQueueOptions {
     readonly zone: string;
     readonly clock: clock.Clock;
@@ -62,12 +63,14 @@
 
 /** Delay between an event and the scheduling pass, so that events in quick succession share one pass. */
 const PASS_DELAY_MS = 5;
+/** Interval of housekeeping rounds, and the maximum time between two scheduling passes. */
 const HOUSEKEEPING_INTERVAL_MS = 1000;
 /** Maximum time that a new owner waits for the first reports of all racks before its first pass. */
 const FIRST_REPORTS_TIMEOUT_MS = 4000;
 /** The zone's rows are read again once in this many housekeeping rounds. */
 const RESCAN_INTERVAL_ROUNDS = 10;
 
+/** Creates the queue; it takes reports at once, and loads and runs jobs once `own` is called. */
 export function createZoneQueue(options: ZoneQueueOptions): ZoneQueue {
     const { zone, clock: time, counters, log, store } = options;
     const entries = new Map<string, queueEntry.QueueEntry>();
