--- a/src/queue/decisionState.ts
+++ b/src/queue/decisionState.ts
@@ -77,7 +77,7 @@
     return job.failedAt === undefined || now - job.failedAt > EXCLUSION_MS;
 }
 
-/** Holds the place of an eviction for the job; until it starts, nothing else may be placed on those workers. */
+/** Holds the place of an eviction for the job; while the hold lasts, nothing else may be placed on its workers. */
 export function holdPlace(
     state: DecisionState,
     job: queuedJob.QueuedJob,
