--- a/src/broker/broker.ts
+++ b/src/broker/broker.ts
@@ -1,6 +1,6 @@
 import * as moleculer from "moleculer";
 
-/** A broker for this process alone: its clustering and discovery stay off, and instances agree through the platform. */
+/** Creates a broker for this process only. Clustering and discovery are off: instances agree through the platform. */
 export function createBroker(instanceId: string): moleculer.ServiceBroker {
     return new moleculer.ServiceBroker({
         nodeID: instanceId,
--- a/src/broker/httpService.ts
+++ b/src/broker/httpService.ts
@@ -1,27 +1,28 @@
-/** An HTTP listener as a moleculer service: routes lead to actions, and every answer is a typed value. */
+/** An HTTP listener as a moleculer service: routes map to actions, and every answer is a typed value. */
 import * as moleculer from "moleculer";
 import * as moleculerWeb from "moleculer-web";
 import * as http from "node:http";
 import * as result from "../result/index";
 
-/** One request as an action sees it. */
+/** A request as an action receives it. */
 export interface HttpCall {
     /** Path parameters. */
     readonly path: Readonly<Record<string, string>>;
     readonly query: Readonly<Record<string, string>>;
-    /** Parsed JSON; undefined when there is none. */
+    /** Parsed JSON; `undefined` when there is no body. */
     readonly body: unknown;
-    /** The bearer token; empty when there is none. */
+    /** The bearer token; empty when the request has none. */
     readonly key: string;
 }
 
-/** Bytes go out as they are; anything else as JSON. */
+/** The answer to a request. A `Uint8Array` body is sent unchanged, any other body as JSON. */
 export interface HttpAnswer {
     readonly status: number;
     readonly body: unknown;
     readonly headers?: Readonly<Record<string, string>>;
 }
 
+/** A route and its handler. */
 export interface HttpRoute {
     /** Method and path, for instance `POST /v1/jobs`. */
     readonly alias: string;
@@ -31,6 +32,7 @@
 }
 
 export interface HttpServiceOptions {
+    /** Name of the moleculer service. */
     readonly name: string;
     /** `host:port` to listen on. */
     readonly address: string;
@@ -55,6 +57,7 @@
 const REQUEST_TIMEOUT_MS = 30_000;
 const KEEP_ALIVE_MS = 65_000;
 
+/** Creates the schema of the service; the listener starts with the broker. */
 export function createHttpService(options: HttpServiceOptions): moleculer.ServiceSchema {
     const separator = options.address.lastIndexOf(":");
     return {
@@ -77,7 +80,7 @@
                     _route: unknown,
                     req: IncomingCall,
                 ) => {
-                    ctx.meta["key"] = readBearer(req.headers.authorization);
+                    ctx.meta["key"] = readBearerToken(req.headers.authorization);
                 },
             }],
             onError: (_req: http.IncomingMessage, res: http.ServerResponse, err: RouteError) => sendError(res, err),
@@ -85,8 +88,8 @@
         actions: Object.fromEntries(options.routes.map(route => [route.action, {
             handler: (ctx: moleculer.Context<ActionParams, ActionMeta>) => runAction(route, ctx),
         }])),
-        created(this: ServerHolder) {
-            // A caller that sends slowly, or keeps connections open without using them, must not use up the listener.
+        created(this: ServiceWithServer) {
+            // Without these bounds, slow or idle clients could use up the listener's connections.
             const { server } = this;
             if (server) {
                 server.headersTimeout = HEADERS_TIMEOUT_MS;
@@ -98,7 +101,7 @@
     } as unknown as moleculer.ServiceSchema;
 }
 
-interface ServerHolder {
+interface ServiceWithServer {
     readonly server?: http.Server;
 }
 
@@ -131,12 +134,12 @@
     return isBytes ? Buffer.from(answer.body as Uint8Array) : answer.body;
 }
 
-function readBearer(header: string | undefined): string {
+function readBearerToken(header: string | undefined): string {
     const [scheme, key] = (header ?? "").split(" ", 2);
     return scheme?.toLowerCase() === "bearer" ? key ?? "" : "";
 }
 
-/** A refusal in the form that every listener uses. */
+/** Converts a refusal to the answer format that all listeners share. */
 export function refusalAnswer(refusal: result.Refusal, requestId?: string): HttpAnswer {
     const info = result.getResultInfo(refusal.code);
     const retryAfterMs = refusal.retryAfterMs ?? 0;
@@ -154,9 +157,9 @@
     };
 }
 
-/** What went wrong before an action ran: an unknown path, a body that is too large or not JSON. */
+/** Answers errors from before an action runs: an unknown path, or a body that is too large or not JSON. */
 function sendError(res: http.ServerResponse, err: RouteError): void {
-    const refusal = classify(err);
+    const refusal = toRefusal(err);
     const answer = refusalAnswer(refusal);
     if (res.headersSent) {
         res.destroy();
@@ -166,7 +169,7 @@
     res.end(JSON.stringify(answer.body));
 }
 
-function classify(err: RouteError): result.Refusal {
+function toRefusal(err: RouteError): result.Refusal {
     if (err.type === "entity.too.large" || err.code === 413) {
         return result.createRefusal(result.ResultCode.BodyTooLarge, "the request body is too large");
     }
--- a/src/broker/index.ts
+++ b/src/broker/index.ts
@@ -1,4 +1,4 @@
-/** The moleculer broker that hosts an instance's services, and HTTP services on it. */
+/** The moleculer broker that hosts an instance's services, and HTTP services that run on it. */
 export { createBroker } from "./broker";
 export {
     createHttpService,
--- a/src/load/callerLog.ts
+++ b/src/load/callerLog.ts
@@ -1,7 +1,9 @@
-/** What callers really got: one record for each request, kept by its mark. */
+/** Records what callers receive: one record per request, identified by its mark. */
 import * as observe from "../observe/index";
 
+/** A request and its outcome as the caller saw them. Times are monotonic milliseconds. */
 export interface CallerRecord {
+    /** Unique id of the request; the answer to the request contains it. */
     readonly mark: string;
     readonly account: string;
     readonly jobClass: string;
@@ -9,16 +11,17 @@
     readonly accelerators: number;
     readonly cancelled: boolean;
     readonly submittedAt: number;
-    /** The site took the request: it answered "accepted", or began to serve it. */
+    /** Whether the site accepted the request: it accepted the job, or returned the result. */
     accepted: boolean;
     /** `open` until the caller knows the outcome. */
     outcome: "open" | "done" | "failed" | "notRun" | "unknown";
     code: number | undefined;
     endedAt: number | undefined;
-    /** Mark found in the answer, when there was one. */
+    /** Mark in the answer; `undefined` when no answer with a result arrived. */
     answerMark: string | undefined;
 }
 
+/** Totals over all records. Times are in milliseconds. */
 export interface LoadSummary {
     readonly sent: number;
     readonly accepted: number;
@@ -27,21 +30,25 @@
     readonly notRun: number;
     readonly unknown: number;
     readonly open: number;
+    /** Requests whose answer belonged to another request. */
     readonly crossed: number;
     readonly p50Ms: number;
     readonly p99Ms: number;
     readonly byClass: Readonly<
         Record<string, { readonly completed: number; readonly p50Ms: number; readonly p99Ms: number; }>
     >;
+    /** Number of requests that did not succeed, by result code. */
     readonly refusalCodes: Readonly<Record<string, number>>;
 }
 
+/** Collects records and summarizes them. */
 export interface CallerLog {
     add(record: CallerRecord): void;
     getRecords(): readonly CallerRecord[];
     summarize(): LoadSummary;
 }
 
+/** Creates an empty log. */
 export function createCallerLog(): CallerLog {
     const records: CallerRecord[] = [];
     const count = (outcome: CallerRecord["outcome"]) => records.filter(record => record.outcome === outcome).length;
--- a/src/load/callersClient.ts
+++ b/src/load/callersClient.ts
@@ -1,16 +1,18 @@
-/** A caller's connections to the entries of a site. */
+/** HTTP client of the callers API, which distributes its calls over the instances of a site. */
 import * as undici from "undici";
 import * as result from "../result/index";
 
+/** Answer to a call. */
 export type SubmitAnswer =
     | { readonly kind: "done"; readonly body: Uint8Array; }
     | { readonly kind: "job"; readonly state: string; readonly code: number | undefined; }
     | { readonly kind: "refused"; readonly code: number; readonly ran: result.Ran; readonly message: string; }
-    /** The connection was refused: the submission was not sent. */
+    /** The connection was refused; the request was not sent. */
     | { readonly kind: "unreachable"; }
-    /** No whole answer came. */
+    /** No complete answer arrived. */
     | { readonly kind: "silent"; };
 
+/** Calls of the callers API. `key` is the API key of an account. */
 export interface CallersClient {
     submit(key: string, submission: Readonly<Record<string, unknown>>, waitMs: number): Promise<SubmitAnswer>;
     get(key: string, requestId: string, waitMs: number): Promise<SubmitAnswer>;
@@ -21,7 +23,7 @@
 
 const TIMEOUT_MS = 150_000;
 
-/** `pickOrigin` chooses the entry for each call, as a balancer would. */
+/** Creates a client. `pickOrigin` chooses the origin of the instance for each call, like a load balancer. */
 export function createCallersClient(pickOrigin: () => string, connections: number): CallersClient {
     const agent = new undici.Agent({ connections, headersTimeout: TIMEOUT_MS, bodyTimeout: TIMEOUT_MS });
 
@@ -40,7 +42,7 @@
             });
             const bytes = new Uint8Array(await res.body.arrayBuffer());
             const isJson = String(res.headers["content-type"]).startsWith("application/json");
-            return isJson ? readJson(res.statusCode, bytes) : { kind: "done", body: bytes };
+            return isJson ? parseJsonAnswer(res.statusCode, bytes) : { kind: "done", body: bytes };
         }
         catch (err) {
             return (err as { code?: string; }).code === "ECONNREFUSED" ? { kind: "unreachable" } : { kind: "silent" };
@@ -64,7 +66,7 @@
     readonly message?: string;
 }
 
-function readJson(status: number, bytes: Uint8Array): SubmitAnswer {
+function parseJsonAnswer(status: number, bytes: Uint8Array): SubmitAnswer {
     const body = JSON.parse(Buffer.from(bytes).toString("utf8")) as AnswerBody;
     if (status < 300 && body.state !== undefined) {
         return { kind: "job", state: body.state, code: body.code };
@@ -73,6 +75,6 @@
         kind: "refused",
         code: body.code ?? result.ResultCode.Internal,
         ran: body.ran ?? "unknown",
-        message: body.message ?? `status ${status}`,
+        message: body.message ?? `HTTP status ${status} without a message`,
     };
 }
--- a/src/load/load.ts
+++ b/src/load/load.ts
@@ -1,4 +1,4 @@
-/** Sends streams of requests at given rates and follows each to its outcome. */
+/** Sends streams of requests at given rates and follows each request until its outcome is known. */
 import * as crypto from "node:crypto";
 import type * as clock from "../clock/index";
 import type * as random from "../random/index";
@@ -6,50 +6,58 @@
 import type * as callerLog from "./callerLog";
 import type * as callersClient from "./callersClient";
 
+/** Requests of one account and class. Shares are between 0 and 1. */
 export interface LoadStream {
     readonly account: string;
     readonly key: string;
     readonly jobClass: "interactive" | "urgent" | "batch";
-    /** Mean rate; arrivals are a Poisson process. */
+    /** Mean rate of requests; arrivals are a Poisson process. */
     readonly perSecond: number;
-    /** Requests that arrive together; 1 for none. */
+    /** Number of requests that arrive together; 1 for single requests. */
     readonly burst: number;
+    /** Numbers of accelerators, from which one is drawn for each job. */
     readonly accelerators: readonly number[];
     readonly adjacency: "any" | "worker" | "rack" | "adjacentRacks";
     readonly repeatable: boolean;
-    /** Mean run time of the work, in milliseconds; exponentially distributed. */
+    /** Mean run time of the work in milliseconds; run times are exponentially distributed. */
     readonly runMs: number;
-    /** Declared over real run time; how far it is off varies with it. */
+    /** Ratio of the declared run time to the real one. */
     readonly declaredFactor: number;
     readonly deadlineMs?: number;
-    /** Share of requests that are submitted a second time under the same request id, at another entry. */
+    /** Share of requests that are submitted twice under the same request id; the client picks an instance for each. */
     readonly duplicates: number;
-    /** Share of jobs that are cancelled soon after they were accepted. */
+    /** Share of jobs that are cancelled soon after their acceptance. */
     readonly cancellations: number;
 }
 
+/** Options of `createLoad`. */
 export interface LoadOptions {
     readonly clock: clock.Clock;
     readonly rng: random.Random;
     readonly client: callersClient.CallersClient;
     readonly log: callerLog.CallerLog;
-    /** How long a caller goes on asking for an outcome. */
+    /** How long a caller asks for an outcome before it records the outcome as unknown or open. */
     readonly patienceMs: number;
 }
 
+/** A load generator. */
 export interface Load {
     /** Sends the streams until the signal is aborted, then waits for all outcomes. */
     run(streams: readonly LoadStream[], signal: AbortSignal): Promise<void>;
 }
 
+/** Pause between two attempts of a caller. */
 const RETRY_PAUSE_MS = 250;
+/** Duration of a long poll for a job's outcome. */
 const POLL_MS = 5000;
+/** Delay from the acceptance of a job to its cancellation. */
 const CANCEL_AFTER_MS = 50;
 
+/** Creates a load generator; nothing is sent until `run` is called. */
 export function createLoad(options: LoadOptions): Load {
     const { clock: time, rng, client, log } = options;
 
-    const finish = (
+    const recordOutcome = (
         record: callerLog.CallerRecord,
         outcome: callerLog.CallerRecord["outcome"],
         code: number | undefined,
@@ -59,38 +67,38 @@
         record.endedAt = time.now();
     };
 
-    /** "Not run" holds for the request only if no earlier submission of it may have run. */
-    const finishRefused = (record: callerLog.CallerRecord, code: number, ran: result.Ran, inDoubt: boolean) => {
-        const outcome = ran === "yes" ? "failed" : ran === "unknown" || inDoubt ? "unknown" : "notRun";
-        finish(record, outcome, code);
+    /** Records a refusal. The outcome is "not run" only if no earlier submission of the request may have run. */
+    const recordRefusal = (record: callerLog.CallerRecord, code: number, ran: result.Ran, mayHaveRun: boolean) => {
+        const outcome = ran === "yes" ? "failed" : ran === "unknown" || mayHaveRun ? "unknown" : "notRun";
+        recordOutcome(record, outcome, code);
     };
 
-    /** An interactive request: one answer, or a repetition with the same id while the outcome is open. */
+    /** Sends an interactive request and repeats it under the same id until its outcome is known. */
     const callInteractive = async (
         record: callerLog.CallerRecord,
         stream: LoadStream,
         body: Readonly<Record<string, unknown>>,
     ): Promise<void> => {
         const giveUpAt = time.now() + options.patienceMs;
-        let inDoubt = false;
+        let mayHaveRun = false;
         while (time.now() < giveUpAt) {
             const answer = await client.submit(stream.key, body, 0);
             if (answer.kind === "done") {
                 record.accepted = true;
                 record.answerMark = readMark(answer.body);
-                finish(record, "done", undefined);
+                recordOutcome(record, "done", undefined);
                 return;
             }
             if (answer.kind === "refused" && answer.ran !== "unknown") {
-                finishRefused(record, answer.code, answer.ran, inDoubt);
+                recordRefusal(record, answer.code, answer.ran, mayHaveRun);
                 return;
             }
-            inDoubt = inDoubt || answer.kind !== "unreachable";
-            // Not known: ask again under the same id, which is safe also for work that may run only once.
+            mayHaveRun = mayHaveRun || answer.kind !== "unreachable";
+            // The outcome is unknown. Repeating the request id is safe even for work that may run only once.
             record.code = answer.kind === "refused" ? answer.code : undefined;
             await time.sleep(RETRY_PAUSE_MS);
         }
-        finish(record, "unknown", record.code);
+        recordOutcome(record, "unknown", record.code);
     };
 
     const followJob = async (record: callerLog.CallerRecord, stream: LoadStream, requestId: string): Promise<void> => {
@@ -101,12 +109,12 @@
                 const found = await client.getResult(stream.key, requestId);
                 if (found.kind === "done") {
                     record.answerMark = readMark(found.body);
-                    finish(record, "done", undefined);
+                    recordOutcome(record, "done", undefined);
                     return;
                 }
             }
             if (answer.kind === "job" && (answer.state === "failed" || answer.state === "notRun")) {
-                finish(record, answer.state, answer.code);
+                recordOutcome(record, answer.state, answer.code);
                 return;
             }
             await time.sleep(RETRY_PAUSE_MS);
@@ -120,7 +128,7 @@
         body: Readonly<Record<string, unknown>>,
     ): Promise<void> => {
         const giveUpAt = time.now() + options.patienceMs;
-        let inDoubt = false;
+        let mayHaveRun = false;
         while (time.now() < giveUpAt) {
             const answer = await client.submit(stream.key, body, 0);
             if (answer.kind === "job") {
@@ -132,13 +140,13 @@
                 return followJob(record, stream, requestId);
             }
             if (answer.kind === "refused" && answer.ran !== "unknown") {
-                finishRefused(record, answer.code, answer.ran, inDoubt);
+                recordRefusal(record, answer.code, answer.ran, mayHaveRun);
                 return;
             }
-            inDoubt = inDoubt || answer.kind !== "unreachable";
+            mayHaveRun = mayHaveRun || answer.kind !== "unreachable";
             await time.sleep(RETRY_PAUSE_MS);
         }
-        finish(record, "unknown", record.code);
+        recordOutcome(record, "unknown", record.code);
     };
 
     const send = async (stream: LoadStream): Promise<void> => {
@@ -174,16 +182,18 @@
         const call = stream.jobClass === "interactive"
             ? callInteractive(record, stream, body)
             : callJob(record, stream, mark, body);
-        const [, other] = await Promise.all([call, duplicate]);
-        const otherRan = other && !(other.kind === "unreachable" || (other.kind === "refused" && other.ran === "no"));
-        if (record.outcome === "notRun" && otherRan) {
-            // The request did not run only if all its submissions say so.
+        const [, duplicateAnswer] = await Promise.all([call, duplicate]);
+        const duplicateMayHaveRun = duplicateAnswer
+            && !(duplicateAnswer.kind === "unreachable"
+                || (duplicateAnswer.kind === "refused" && duplicateAnswer.ran === "no"));
+        if (record.outcome === "notRun" && duplicateMayHaveRun) {
+            // A request did not run only if all of its submissions were answered so.
             record.outcome = "unknown";
         }
     };
 
     const runStream = async (stream: LoadStream, signal: AbortSignal): Promise<void> => {
-        const underWay = new Set<Promise<void>>();
+        const inFlight = new Set<Promise<void>>();
         const meanGapMs = 1000 * stream.burst / stream.perSecond;
         let nextAt = time.now() + rng.nextExponential(meanGapMs);
         while (!signal.aborted) {
@@ -191,12 +201,12 @@
             while (nextAt <= time.now() && !signal.aborted) {
                 nextAt += rng.nextExponential(meanGapMs);
                 for (let count = 0; count < stream.burst; count++) {
-                    const sending: Promise<void> = send(stream).finally(() => underWay.delete(sending));
-                    underWay.add(sending);
+                    const sending: Promise<void> = send(stream).finally(() => inFlight.delete(sending));
+                    inFlight.add(sending);
                 }
             }
         }
-        await Promise.all(underWay);
+        await Promise.all(inFlight);
     };
 
     return {
--- a/src/membership/membershipView.ts
+++ b/src/membership/membershipView.ts
@@ -1,122 +1,132 @@
 /**
- * The instances that this one takes to be live.
+ * The instances that this one considers live.
  *
- * The platform's list lags by seconds in both directions. Heartbeats correct it: a peer of the own zone that is silent is
- * dead sooner than the list says, and one that is heard is alive though not listed yet. Nothing here decides safety: two
- * instances with different views may both believe to own a rack, and the workers' fencing tokens let only one act.
+ * The platform's list is seconds late, for joining and for failed instances. Heartbeats correct it: a peer of the own
+ * zone that sends none counts as failed before the list shows it, and a peer that sends them counts as live before it
+ * is listed. Safety does not depend on this view: two instances with different views may both consider themselves owner of
+ * a rack, but the workers' fencing tokens let only one of them act.
  */
 import type * as platform from "../backing/index";
 import type * as clock from "../clock/index";
 import type * as peer from "../peer/index";
 
+/** An instance and its address. */
 export interface Peer {
     readonly id: string;
     readonly zone: string;
+    /** `host:port` of its gRPC listener. */
     readonly peerAddress: string;
 }
 
+/** This instance's view of the membership. */
 export interface MembershipView {
-    /** All instances known, this one excluded, leaving ones included. */
+    /** All known instances except this one, including leaving ones. */
     getPeers(): readonly Peer[];
-    /** Ids of the live instances of a zone that may own something; this one included unless it is leaving. */
+    /** Ids of the live instances of a zone that may own racks and queues, including this one unless it is leaving. */
     getOwners(zone: string): readonly string[];
+    /** `undefined` when the peer is not known. */
     getPeer(id: string): Peer | undefined;
-    /** What a peer last said of itself; `undefined` when it has been silent for too long. */
+    /** The peer's latest heartbeat; `undefined` when none arrived within `failAfterMs`. */
     getHeartbeat(id: string): peer.HeartbeatMessage | undefined;
-    /** Fresh heartbeats of all peers. */
+    /** The latest heartbeats of all peers that sent one within `failAfterMs`. */
     getHeartbeats(): readonly peer.HeartbeatMessage[];
+    /** Whether the platform lists the worker as leaving. */
     isLeaving(workerId: string): boolean;
+    /** Applies the platform's list. */
     noteSnapshot(snapshot: platform.MembershipSnapshot): void;
+    /** Records a heartbeat. Without an address, that of the known peer is used; unknown peers are then ignored. */
     noteHeartbeat(heartbeat: peer.HeartbeatMessage, peerAddress: string | undefined): void;
-    /** A call to the peer failed. */
+    /** Records that a call to the peer failed. */
     noteFailure(id: string): void;
+    /** Marks this instance as leaving. */
     setLeaving(): void;
 }
 
 interface MembershipViewOptions {
     readonly self: Peer;
     readonly clock: clock.Clock;
+    /** Time without a heartbeat after which a peer counts as failed. */
     readonly failAfterMs: number;
 }
 
-interface Known {
+interface KnownPeer {
     readonly peer: Peer;
     listed: boolean;
     listedLeaving: boolean;
-    /** Monotonic time at which it was first known; it gets `failAfterMs` to be heard. */
-    readonly since: number;
-    heardAt: number | undefined;
+    /** Monotonic time at which the peer became known; it has `failAfterMs` from then to send a heartbeat. */
+    readonly knownSinceAt: number;
+    lastHeartbeatAt: number | undefined;
     heartbeat: peer.HeartbeatMessage | undefined;
     failedAt: number | undefined;
 }
 
 export function createMembershipView(options: MembershipViewOptions): MembershipView {
     const { self, clock: time, failAfterMs } = options;
-    const known = new Map<string, Known>();
+    const knownPeers = new Map<string, KnownPeer>();
     let leavingWorkers = new Set<string>();
     let leaving = false;
 
-    const isSilent = (item: Known) => time.now() - (item.heardAt ?? item.since) > failAfterMs;
+    const hasTimedOut = (item: KnownPeer) => time.now() - (item.lastHeartbeatAt ?? item.knownSinceAt) > failAfterMs;
 
-    const isOwner = (item: Known) => {
+    const isOwner = (item: KnownPeer) => {
         if (item.listedLeaving || item.heartbeat?.leaving) {
             return false;
         }
         if (item.peer.zone === self.zone) {
-            return !isSilent(item);
+            return !hasTimedOut(item);
         }
-        // Few links lead to other zones: the list decides there, unless a call to the peer has just failed.
-        const justFailed = item.failedAt !== undefined && time.now() - item.failedAt < failAfterMs;
-        return item.heardAt !== undefined && !isSilent(item) ? true : item.listed && !justFailed;
+        // Few peers of other zones send heartbeats here. For the rest the list decides, unless a call has just failed.
+        const failedRecently = item.failedAt !== undefined && time.now() - item.failedAt < failAfterMs;
+        return item.lastHeartbeatAt !== undefined && !hasTimedOut(item) ? true : item.listed && !failedRecently;
     };
 
-    const note = (member: Peer): Known => {
-        const before = known.get(member.id);
-        if (before && before.peer.peerAddress === member.peerAddress && before.peer.zone === member.zone) {
-            return before;
+    const getOrAdd = (member: Peer): KnownPeer => {
+        const existing = knownPeers.get(member.id);
+        if (existing && existing.peer.peerAddress === member.peerAddress && existing.peer.zone === member.zone) {
+            return existing;
         }
-        const item: Known = {
+        const item: KnownPeer = {
             peer: member,
             listed: false,
             listedLeaving: false,
-            since: time.now(),
-            heardAt: undefined,
+            knownSinceAt: time.now(),
+            lastHeartbeatAt: undefined,
             heartbeat: undefined,
             failedAt: undefined,
         };
-        known.set(member.id, item);
+        knownPeers.set(member.id, item);
         return item;
     };
 
-    const getFresh = (item: Known | undefined) => item && !isSilent(item) ? item.heartbeat : undefined;
+    const getFreshHeartbeat = (item: KnownPeer | undefined) => item && !hasTimedOut(item) ? item.heartbeat : undefined;
 
     return {
-        getPeers: () => [...known.values()].map(item => item.peer),
+        getPeers: () => [...knownPeers.values()].map(item => item.peer),
         getOwners: zone => {
-            const owners = [...known.values()].filter(item => item.peer.zone === zone && isOwner(item)).map(item =>
+            const owners = [...knownPeers.values()].filter(item => item.peer.zone === zone && isOwner(item)).map(item =>
                 item.peer.id
             );
             return zone === self.zone && !leaving ? [...owners, self.id] : owners;
         },
-        getPeer: id => known.get(id)?.peer,
-        getHeartbeat: id => getFresh(known.get(id)),
-        getHeartbeats: () => [...known.values()].flatMap(item => getFresh(item) ?? []),
+        getPeer: id => knownPeers.get(id)?.peer,
+        getHeartbeat: id => getFreshHeartbeat(knownPeers.get(id)),
+        getHeartbeats: () => [...knownPeers.values()].flatMap(item => getFreshHeartbeat(item) ?? []),
         isLeaving: workerId => leavingWorkers.has(workerId),
         noteSnapshot: snapshot => {
-            for (const item of known.values()) {
+            for (const item of knownPeers.values()) {
                 item.listed = false;
             }
             for (const entry of snapshot.instances) {
                 if (entry.id === self.id) {
                     continue;
                 }
-                const item = note({ id: entry.id, zone: entry.zone, peerAddress: entry.peerAddress });
+                const item = getOrAdd({ id: entry.id, zone: entry.zone, peerAddress: entry.peerAddress });
                 item.listed = true;
                 item.listedLeaving = entry.state === "leaving";
             }
-            for (const [id, item] of known) {
-                if (!item.listed && isSilent(item)) {
-                    known.delete(id);
+            for (const [id, item] of knownPeers) {
+                if (!item.listed && hasTimedOut(item)) {
+                    knownPeers.delete(id);
                 }
             }
             leavingWorkers = new Set(
@@ -124,20 +134,20 @@
             );
         },
         noteHeartbeat: (heartbeat, peerAddress) => {
-            const address = peerAddress ?? known.get(heartbeat.instanceId)?.peer.peerAddress;
+            const address = peerAddress ?? knownPeers.get(heartbeat.instanceId)?.peer.peerAddress;
             if (address === undefined || heartbeat.instanceId === self.id) {
                 return;
             }
-            const item = note({ id: heartbeat.instanceId, zone: heartbeat.zone, peerAddress: address });
+            const item = getOrAdd({ id: heartbeat.instanceId, zone: heartbeat.zone, peerAddress: address });
             const isStale = item.heartbeat && heartbeat.incarnation < item.heartbeat.incarnation;
             if (!isStale) {
-                item.heardAt = time.now();
+                item.lastHeartbeatAt = time.now();
                 item.heartbeat = heartbeat;
                 item.failedAt = undefined;
             }
         },
         noteFailure: id => {
-            const item = known.get(id);
+            const item = knownPeers.get(id);
             if (item) {
                 item.failedAt = time.now();
             }
