--- a/bin/plantainchute.ts
+++ b/bin/plantainchute.ts
@@ -1,4 +1,5 @@
 #!/usr/bin/env node
+/** Entry point of the command line. */
 import * as platformFiles from "../platform/check";
 import * as cli from "../src/cli/index";
 import * as standins from "../standins/cli/index";
--- a/src/async/abort.ts
+++ b/src/async/abort.ts
@@ -1,8 +1,8 @@
 import * as events from "node:events";
 
 /**
- * A controller whose signal may have any number of listeners: one signal ends every loop of an owner, and Node takes more
- * than ten listeners for a leak unless told otherwise.
+ * Creates a controller whose signal may have any number of listeners. One signal stops all loops of an owner, and by
+ * default Node.js warns of a leak at more than ten listeners.
  */
 export function createAbortController(): AbortController {
     const controller = new AbortController();
--- a/src/async/index.ts
+++ b/src/async/index.ts
@@ -1,12 +1,13 @@
-/** Small helpers for promises. */
+/** Helpers for promises and abort signals. */
 export { createAbortController } from "./abort";
 
+/** A promise with its resolve function. */
 export interface Deferred<T> {
     readonly promise: Promise<T>;
     readonly resolve: (value: T) => void;
 }
 
-/** A promise that is resolved from outside. */
+/** Creates a promise that is resolved by a call of `resolve`. */
 export function createDeferred<T = void>(): Deferred<T> {
     let resolvePromise: (value: T) => void = () => undefined;
     const promise = new Promise<T>(resolve => {
--- a/src/http/index.ts
+++ b/src/http/index.ts
@@ -1,2 +1,2 @@
-/** Small helpers around HTTP clients. */
+/** Helpers for HTTP clients. */
 export { readBounded, wasNeverSent } from "./clientErrors";
--- a/src/membership/membershipView.ts
+++ b/src/membership/membershipView.ts
@@ -3,8 +3,8 @@
  *
  * The platform's list is seconds late, for joining and for failed instances. Heartbeats correct it: a peer of the own
  * zone that sends none counts as failed before the list shows it, and a peer that sends them counts as live before it
- * is listed. Safety does not depend on this view: two instances with different views may both consider themselves owner of
- * a rack, but the workers' fencing tokens let only one of them act.
+ * is listed. Safety does not depend on this view: two instances with different views may both consider themselves owner
+ * of a rack, but the workers' fencing tokens let only one of them act.
  */
 import type * as platform from "../backing/index";
 import type * as clock from "../clock/index";
--- a/src/operator/operatorsHttp.ts
+++ b/src/operator/operatorsHttp.ts
@@ -1,4 +1,4 @@
-/** What operators see and change. docs/OPERATING.md shows its use. */
+/** Routes of the operators API: status, and changes of the configuration. docs/OPERATING.md shows its use. */
 import * as z from "zod";
 import * as broker from "../broker/index";
 import * as configuration from "../configuration/index";
@@ -10,14 +10,14 @@
     readonly store: configuration.ConfigurationStore;
     readonly getStatus: () => unknown;
     readonly getWorkers: () => unknown;
-    /** The operator that the key belongs to. */
+    /** Returns the operator that the key belongs to; `undefined` for an unknown or expired key. */
     readonly authenticate: (key: string) => { readonly name: string; } | undefined;
 }
 
-/** Comes with each change. The same operation id never changes anything twice. */
+/** Fields of every change. A change that is repeated with the same operation id is applied once. */
 const changeSchema = z.object({
     operationId: z.string().min(1).max(128),
-    /** Revision that the operator saw; without it, the newest that this instance knows. */
+    /** Revision that the operator has seen; defaults to the newest that this instance reads from the store. */
     expectedRevision: z.number().int().min(0).optional(),
 });
 const presetChoiceSchema = changeSchema.extend({ preset: z.string() }).strict();
@@ -29,6 +29,7 @@
     readonly preset: string;
 }
 
+/** Creates the routes. All of them require an operator's key. */
 export function createOperatorsHttp(options: OperatorsHttpOptions): broker.HttpRoute[] {
     const { reader, store } = options;
 
@@ -45,13 +46,13 @@
         }
         catch (err) {
             const refusal = err instanceof z.ZodError
-                ? result.createRefusal(result.ResultCode.BadRequest, describe(err))
+                ? result.createRefusal(result.ResultCode.BadRequest, describeIssue(err))
                 : result.refusalFromUnknown(err);
             return broker.refusalAnswer(refusal);
         }
     };
 
-    /** Reads the newest revision from the store, applies the edit, and writes the next one. */
+    /** Reads the newest revision from the store, applies the edit and writes the next revision. */
     const change = async (
         base: z.infer<typeof changeSchema>,
         edit: (newest: configuration.Configuration) => result.Result<Edit>,
@@ -138,7 +139,7 @@
     ];
 }
 
-/** Why the configuration cannot be put in force; `undefined` when it can. */
+/** Describes why the configuration cannot be put in force; `undefined` when it can. */
 function findProblem(
     contracts: configuration.Contracts,
     topology: configuration.Topology,
@@ -158,11 +159,11 @@
 }
 
 function replaceByName<T extends { readonly name: string; }>(items: readonly T[], item: T): T[] {
-    const known = items.some(other => other.name === item.name);
-    return known ? items.map(other => other.name === item.name ? item : other) : [...items, item];
+    const exists = items.some(other => other.name === item.name);
+    return exists ? items.map(other => other.name === item.name ? item : other) : [...items, item];
 }
 
-function describe(err: z.ZodError): string {
+function describeIssue(err: z.ZodError): string {
     const issue = err.issues[0]!;
     return `${issue.path.join(".") || "body"}: ${issue.message}`;
 }
--- a/src/ownership/holdings.ts
+++ b/src/ownership/holdings.ts
@@ -1,71 +1,78 @@
-/** Takes up and gives up what this instance owns, as membership and configuration change. */
+/** Starts and stops the items that this instance owns, as membership and configuration change. */
 import * as async from "../async/index";
 import type * as observe from "../observe/index";
 import * as result from "../result/index";
 
+/** Running items by key. */
 export interface Holdings<T> {
+    /** The running item; `undefined` when there is none under the key. */
     get(key: string): T | undefined;
     getAll(): readonly T[];
-    /** Starts what is wanted and not held, and stops what is held and not wanted. */
+    /**
+     * Stops items whose keys are not wanted and starts those that are wanted and not running. An item that is still
+     * stopping is started by a later call.
+     */
     adjust(wanted: ReadonlySet<string>): void;
-    /** Gives everything up and waits until it is given up. */
+    /** Stops all items and waits until they have stopped. */
     close(): Promise<void>;
 }
 
 interface HoldingsOptions<T> {
     readonly log: observe.Log;
+    /** Creates the item of a key. */
     readonly create: (key: string) => T;
-    /** Runs what is held until the signal is aborted. */
+    /** Runs an item until the signal is aborted. */
     readonly own: (item: T, signal: AbortSignal) => Promise<void>;
 }
 
-interface Held<T> {
+interface RunningItem<T> {
     readonly item: T;
     readonly controller: AbortController;
     readonly done: Promise<void>;
 }
 
+/** Creates an empty set of items. */
 export function createHoldings<T>(options: HoldingsOptions<T>): Holdings<T> {
-    const held = new Map<string, Held<T>>();
-    const endings = new Map<string, Promise<void>>();
+    const running = new Map<string, RunningItem<T>>();
+    const stopping = new Map<string, Promise<void>>();
 
     const start = (key: string) => {
         const item = options.create(key);
         const controller = async.createAbortController();
         const done = options.own(item, controller.signal).catch(err => {
-            options.log.error("holding failed", { key, cause: result.getErrorMessage(err) });
+            options.log.error("owned item failed", { key, cause: result.getErrorMessage(err) });
         });
-        held.set(key, { item, controller, done });
+        running.set(key, { item, controller, done });
     };
 
-    const stop = (key: string, item: Held<T>) => {
-        held.delete(key);
+    const stop = (key: string, item: RunningItem<T>) => {
+        running.delete(key);
         item.controller.abort();
-        // What is given up must have ended before it is taken again, or two loops of this instance fight for one lease.
-        const ending = item.done.finally(() => endings.delete(key));
-        endings.set(key, ending);
+        // An item must have stopped before it starts again. Otherwise two loops of this instance compete for one lease.
+        const stopped = item.done.finally(() => stopping.delete(key));
+        stopping.set(key, stopped);
     };
 
     return {
-        get: key => held.get(key)?.item,
-        getAll: () => [...held.values()].map(item => item.item),
+        get: key => running.get(key)?.item,
+        getAll: () => [...running.values()].map(item => item.item),
         adjust: wanted => {
-            for (const [key, item] of [...held]) {
+            for (const [key, item] of [...running]) {
                 if (!wanted.has(key)) {
                     stop(key, item);
                 }
             }
             for (const key of wanted) {
-                if (!held.has(key) && !endings.has(key)) {
+                if (!running.has(key) && !stopping.has(key)) {
                     start(key);
                 }
             }
         },
         close: async () => {
-            for (const [key, item] of [...held]) {
+            for (const [key, item] of [...running]) {
                 stop(key, item);
             }
-            await Promise.all(endings.values());
+            await Promise.all(stopping.values());
         },
     };
 }
--- a/src/ownership/rendezvous.ts
+++ b/src/ownership/rendezvous.ts
@@ -1,10 +1,10 @@
 /**
- * Rendezvous hashing (Thaler and Ravishankar 1998): everyone who knows the same candidates picks the same one, and a
- * candidate that comes or goes moves only the keys it takes or held.
+ * Rendezvous hashing (Thaler and Ravishankar 1998): all instances with the same candidates pick the same one. When a
+ * candidate is added or removed, only the keys that it gains or held change their candidate.
  */
 import * as crypto from "node:crypto";
 
-/** The candidates, best first. */
+/** The candidates in descending order of weight. */
 export function rankByRendezvous(key: string, candidates: readonly string[]): string[] {
     return candidates
         .map(candidate => ({ candidate, weight: getWeight(key, candidate) }))
@@ -12,7 +12,7 @@
         .map(ranked => ranked.candidate);
 }
 
-/** `undefined` when there are no candidates. */
+/** The candidate of the highest weight; `undefined` when there are no candidates. */
 export function pickByRendezvous(key: string, candidates: readonly string[]): string | undefined {
     let best: string | undefined;
     let bestWeight = -1;
@@ -26,12 +26,15 @@
     return best;
 }
 
-/** Uniform in [0, 2^32). The two names are hashed once each and their hashes mixed, since plans weigh many pairs. */
+/**
+ * The weight of a candidate for a key, uniform in [0, 2^32). Each name is hashed once and the hashes are mixed, because
+ * plans compute the weights of many pairs.
+ */
 export function getWeight(key: string, candidate: string): number {
     return mix(hashName(key) ^ Math.imul(hashName(candidate), 0x9e3779b1));
 }
 
-/** Names are ids of racks, workers, zones, instances and blocks; request ids are weighed uncached. */
+/** Maximum number of cached hashes, of ids of racks, workers, zones, instances and blocks, and of request digests. */
 const MAX_CACHED_NAMES = 50_000;
 const hashes = new Map<string, number>();
 
@@ -48,7 +51,7 @@
     return hash;
 }
 
-/** The finaliser of MurmurHash3: each input bit changes each output bit with probability near one half. */
+/** The finalizer of MurmurHash3: each input bit changes each output bit with a probability of about one half. */
 function mix(value: number): number {
     let mixed = value;
     mixed = Math.imul(mixed ^ (mixed >>> 16), 0x85ebca6b);
