--- a/src/result/codes.ts
+++ b/src/result/codes.ts
@@ -1,10 +1,11 @@
 /**
- * The numbered result codes. A code never changes its meaning; docs/RESULT-CODES.md is checked against this table.
+ * The numbered result codes. A code never changes its meaning. A test compares docs/RESULT-CODES.md with this table.
  */
 
-/** Whether the request's work ran: what a caller may conclude from the code alone. */
+/** Whether the work of the request ran, as far as a caller can conclude from the code alone. */
 export type Ran = "no" | "yes" | "unknown";
 
+/** Facts about a result code. */
 export interface ResultInfo {
     readonly code: number;
     readonly name: string;
@@ -15,6 +16,7 @@
     readonly meaning: string;
 }
 
+/** Result codes by name. */
 export const ResultCode = {
     Done: 0,
     BadRequest: 1001,
@@ -52,7 +54,7 @@
 
 /** One row per code, in the order of the codes. */
 export const RESULT_TABLE: readonly ResultInfo[] = [
-    row(ResultCode.Done, "done", "yes", 200, 0, "The work ran once and its answer is whole."),
+    row(ResultCode.Done, "done", "yes", 200, 0, "The work ran once and its answer is complete."),
     row(ResultCode.BadRequest, "badRequest", "no", 400, 2, "A field is missing, unknown or out of range."),
     row(ResultCode.BodyTooLarge, "bodyTooLarge", "no", 413, 2, "The request body exceeds the limit."),
     row(ResultCode.Unauthorized, "unauthorized", "no", 401, 3, "The key is missing, unknown or expired."),
@@ -77,7 +79,7 @@
     row(ResultCode.RateLimited, "rateLimited", "no", 429, 6, "The client account exceeds its rate."),
     row(ResultCode.QueueFull, "queueFull", "no", 503, 6, "The queue of this class is full."),
     row(ResultCode.DeadlineTooSoon, "deadlineTooSoon", "no", 503, 6, "The work cannot start before its deadline."),
-    row(ResultCode.NoCapacity, "noCapacity", "no", 503, 6, "No healthy worker has room for it now."),
+    row(ResultCode.NoCapacity, "noCapacity", "no", 503, 6, "No healthy worker has enough free resources now."),
     row(ResultCode.AccountLimit, "accountLimit", "no", 429, 6, "The client account has too many unfinished jobs."),
     row(ResultCode.Leaving, "leaving", "no", 503, 6, "The instance is shutting down."),
     row(
@@ -155,16 +157,23 @@
         "no",
         422,
         10,
-        "The configuration is inconsistent or cannot fit.",
+        "The configuration is inconsistent or its guarantees cannot be placed.",
     ),
     row(ResultCode.SettingsInvalid, "settingsInvalid", "no", 400, 11, "A settings file is not valid."),
-    row(ResultCode.Unreachable, "unreachable", "unknown", 503, 12, "The site did not answer the command line."),
-    row(ResultCode.Internal, "internal", "unknown", 500, 13, "A fault of this program."),
+    row(
+        ResultCode.Unreachable,
+        "unreachable",
+        "unknown",
+        503,
+        12,
+        "The site did not answer a call of the command line.",
+    ),
+    row(ResultCode.Internal, "internal", "unknown", 500, 13, "An internal error of this program."),
 ];
 
 const infoByCode = new Map(RESULT_TABLE.map(info => [info.code, info]));
 
-/** Facts about a code; an unknown code, for instance of a newer instance, is reported as internal. */
+/** Returns the facts about a code; those of `Internal` for an unknown code, for instance of a newer instance. */
 export function getResultInfo(code: number): ResultInfo {
     return infoByCode.get(code) ?? infoByCode.get(ResultCode.Internal)!;
 }
--- a/src/result/index.ts
+++ b/src/result/index.ts
@@ -1,4 +1,4 @@
-/** Numbered result codes, refusals and invariants: the one vocabulary of errors. */
+/** Numbered result codes, refusals and invariants, used for errors throughout the program. */
 export { getResultInfo, type Ran, RESULT_TABLE, ResultCode, type ResultInfo } from "./codes";
 export { invariant, InvariantCode } from "./invariant";
 export { createRefusal, getErrorMessage, isRefusal, type Refusal, refusalFromUnknown, refuse } from "./refusal";
--- a/src/result/invariant.ts
+++ b/src/result/invariant.ts
@@ -1,4 +1,4 @@
-/** Numbered assertions about the program's own state. A failure is a fault of this program, never of its input. */
+/** Numbered assertions about the program's own state. A failure is a bug in this program, never an invalid input. */
 export const InvariantCode = {
     BooksNegative: 1,
     AcceleratorTwice: 2,
@@ -8,7 +8,7 @@
 } as const;
 export type InvariantCode = typeof InvariantCode[keyof typeof InvariantCode];
 
-/** Throws unless the condition holds. */
+/** Throws an error that names the code and the detail unless the condition holds. */
 export function invariant(condition: unknown, code: InvariantCode, detail: string): asserts condition {
     if (!condition) {
         throw new Error(`invariant ${code}: ${detail}`);
--- a/src/result/refusal.ts
+++ b/src/result/refusal.ts
@@ -1,12 +1,12 @@
 import * as codes from "./codes";
 
-/** A truthful refusal: why, whether the work ran, and when to come back. */
+/** A refusal: the reason, whether the work ran, and when to retry. */
 export interface Refusal {
     readonly kind: "refusal";
     readonly code: codes.ResultCode;
     readonly message: string;
     readonly ran: codes.Ran;
-    /** How long the caller should wait before it asks again, in milliseconds. */
+    /** How long the caller should wait before it retries, in milliseconds. */
     readonly retryAfterMs?: number;
 }
 
@@ -15,7 +15,7 @@
     readonly retryAfterMs?: number;
 }
 
-/** `ran` defaults to what the code itself implies. */
+/** Creates a refusal. `ran` defaults to the value of the code. */
 export function createRefusal(code: codes.ResultCode, message: string, options: RefusalOptions = {}): Refusal {
     return {
         kind: "refusal",
@@ -26,7 +26,7 @@
     };
 }
 
-/** Shorthand for a failed `Result`. */
+/** Creates a failed `Result`. */
 export function refuse(
     code: codes.ResultCode,
     message: string,
@@ -35,15 +35,17 @@
     return { ok: false, refusal: createRefusal(code, message, options) };
 }
 
+/** Whether the value is a refusal. */
 export function isRefusal(value: unknown): value is Refusal {
     return typeof value === "object" && !!value && (value as Partial<Refusal>).kind === "refusal";
 }
 
+/** The message of an error, or the thrown value as a string. */
 export function getErrorMessage(err: unknown): string {
     return err instanceof Error ? err.message : String(err);
 }
 
-/** Turns anything thrown into a refusal; a fault that is not a refusal leaves open whether the work ran. */
+/** Converts a thrown value to a refusal. Any other value than a refusal leaves it unknown whether the work ran. */
 export function refusalFromUnknown(err: unknown): Refusal {
     return isRefusal(err) ? err : createRefusal(codes.ResultCode.Internal, getErrorMessage(err));
 }
--- a/src/settings/__tests__/files.test.ts
+++ b/src/settings/__tests__/files.test.ts
@@ -1,4 +1,4 @@
-/** Broken settings files: each gives one exact message that names file, key and what was expected. */
+/** Settings files: each invalid file yields one message that names the file, the key and what was expected. */
 import * as fs from "node:fs";
 import * as os from "node:os";
 import * as path from "node:path";
@@ -60,12 +60,12 @@
     }
 }
 
-test("valid files of both kinds pass", () => {
+test("a valid file of either kind has no problems", () => {
     expect(check(INSTANCE)).toEqual([]);
     expect(check(SITE)).toEqual([]);
 });
 
-test("the ready-made deployments pass", () => {
+test("all files in deployments/ are valid", () => {
     const root = path.resolve(__dirname, "../../../deployments");
     for (const deployment of fs.readdirSync(root)) {
         const files = fs.readdirSync(path.join(root, deployment));
@@ -76,48 +76,50 @@
     }
 });
 
-const broken: ReadonlyArray<{ name: string; text: string; messages: string[]; }> = [
+const invalidFiles: ReadonlyArray<{ name: string; text: string; messages: string[]; }> = [
     {
-        name: "not TOML",
+        name: "a file that is not TOML",
         text: `${INSTANCE}\n[site`,
         messages: ["FILE: Invalid TOML document: incomplete key-value: cannot find end of key (line 12, column 2)"],
     },
     {
-        name: "missing key",
+        name: "a missing key",
         text: INSTANCE.replace("id = \"zone-a-1\"\n", ""),
         messages: ["FILE: instance.id: missing; expected string"],
     },
     {
-        name: "unknown key",
+        name: "an unknown key",
         text: INSTANCE.replace("id =", "name = \"x\"\nid ="),
         messages: ["FILE: instance.name: unknown key; expected one of id, zone"],
     },
     {
-        name: "wrong unit in the key",
+        name: "a wrong unit in a key",
         text: `${INSTANCE}[leases]\ncontrolSeconds = 3`,
         messages: [
             "FILE: leases.controlSeconds: unknown key; durations are in milliseconds here: expected \"controlMs\"",
         ],
     },
     {
-        name: "wrong unit in the value",
+        name: "a unit in a value",
         text: `${INSTANCE}[leases]\ncontrolMs = "3s"`,
         messages: [
             "FILE: leases.controlMs: expected number, received string; expected whole milliseconds, for instance 2500",
         ],
     },
     {
-        name: "address without a port",
+        name: "an address without a port",
         text: INSTANCE.replace("127.0.0.1:7101", "127.0.0.1"),
         messages: ["FILE: listen.callers: expected host:port"],
     },
     {
-        name: "leases that cannot be kept",
+        name: "a control lease that is too short to be renewed",
         text: `${INSTANCE}[leases]\ncontrolMs = 1000`,
-        messages: ["FILE: leases: syncMs + marginMs must be below controlMs, or the lease lapses between two renewals"],
+        messages: [
+            "FILE: leases: syncMs + marginMs must be below controlMs, or the lease expires between two renewals",
+        ],
     },
     {
-        name: "a preset that cannot fit",
+        name: "a preset whose guarantees cannot be placed",
         text: SITE.replace("blocks = 1", "blocks = 3"),
         messages: [
             "FILE: presets.0: preset \"ordinary\" cannot fit: account \"alpha\" has no place for a block of 8 accelerators (adjacency worker)",
@@ -139,22 +141,22 @@
         messages: ["FILE: topology.racks: worker id \"w1\" occurs twice"],
     },
     {
-        name: "a key that is no digest",
+        name: "an API key that is not a digest",
         text: SITE.replace(KEY, "secret"),
         messages: ["FILE: accounts.0.keys.0.sha256: expected 64 hexadecimal digits"],
     },
     {
-        name: "one key for two holders",
+        name: "one API key for an account and an operator",
         text: SITE.replace("1".repeat(64), KEY),
         messages: ["FILE: accounts: a key is listed twice; each key must belong to one account or operator"],
     },
 ];
 
-test.each(broken)("$name", ({ text, messages }) => {
+test.each(invalidFiles)("reports $name", ({ text, messages }) => {
     expect(check(text)).toEqual(messages);
 });
 
-test("all messages differ", () => {
-    const messages = broken.flatMap(item => check(item.text));
-    expect(new Set(messages).size).toBe(broken.length);
+test("every invalid file yields a different message", () => {
+    const messages = invalidFiles.flatMap(item => check(item.text));
+    expect(new Set(messages).size).toBe(invalidFiles.length);
 });
--- a/src/settings/files.ts
+++ b/src/settings/files.ts
@@ -1,4 +1,4 @@
-/** Reads and checks settings files. */
+/** Reads and validates settings files in TOML. */
 import * as fs from "node:fs";
 import * as path from "node:path";
 import * as toml from "smol-toml";
@@ -9,9 +9,13 @@
 import * as instanceSchema from "./instanceSchema";
 import * as problems from "./problems";
 
+/** `instance`: the settings of one instance. `site`: the configuration of a site. */
 export type FileKind = "instance" | "site";
 
-/** Throws a `SettingsError` that lists every problem. */
+/**
+ * Reads the settings of an instance and resolves `bootstrapFile` against the folder of the file. Throws a
+ * `SettingsError` that lists every problem.
+ */
 export function readInstanceFile(file: string): instanceSchema.InstanceSettings {
     const settings = parse(file, instanceSchema.instanceSettingsSchema, readToml(file));
     const bootstrapFile = settings.site.bootstrapFile;
@@ -21,24 +25,29 @@
     return { ...settings, site: { ...settings.site, bootstrapFile: path.resolve(path.dirname(file), bootstrapFile) } };
 }
 
-/** Throws a `SettingsError` that lists every problem, a preset that cannot fit among them. */
+/** Reads a site file. Throws a `SettingsError` that lists every problem, including presets that cannot be placed. */
 export function readSiteFile(file: string): configuration.Site {
     const site = parse(file, configuration.siteSchema, readToml(file));
-    const inconsistent = configuration.checkSite(site, site.topology, site.preset);
-    if (inconsistent.length > 0) {
-        throw new problems.SettingsError(inconsistent.map(item => ({ file, key: item.path, message: item.message })));
+    const inconsistencies = configuration.checkSite(site, site.topology, site.preset);
+    if (inconsistencies.length > 0) {
+        throw new problems.SettingsError(
+            inconsistencies.map(item => ({ file, key: item.path, message: item.message })),
+        );
     }
-    const unfit = site.presets.flatMap((preset, index) =>
+    const unplacedBlocks = site.presets.flatMap((preset, index) =>
         placement.createPlan(preset, site.topology, new Set()).unplaced
             .map(block => ({ file, key: `presets.${index}`, message: placement.describeUnplaced(preset, block) }))
     );
-    if (unfit.length > 0) {
-        throw new problems.SettingsError(unfit);
+    if (unplacedBlocks.length > 0) {
+        throw new problems.SettingsError(unplacedBlocks);
     }
     return site;
 }
 
-/** Checks a file of either kind; a file with `topology` is a site's. Throws a `SettingsError`. */
+/**
+ * Validates a file of either kind and returns its kind; a file with `topology` or `accounts` is a site file. Throws a
+ * `SettingsError` that lists every problem.
+ */
 export function checkFile(file: string): FileKind {
     const kind: FileKind = "topology" in readToml(file) || "accounts" in readToml(file) ? "site" : "instance";
     if (kind === "site") {
@@ -80,7 +89,7 @@
     throw new problems.SettingsError(problems.toProblems(file, parsed.error.issues, path => findKeys(schema, path)));
 }
 
-/** The keys a schema allows at a path, through arrays, defaults and refinements. */
+/** The keys that a schema allows at a path, through arrays, defaults and optional values. */
 function findKeys(schema: z.ZodType, keyPath: readonly string[]): string[] {
     let node: unknown = schema;
     for (const key of keyPath) {
--- a/src/settings/instanceSchema.ts
+++ b/src/settings/instanceSchema.ts
@@ -1,4 +1,4 @@
-/** Shape of one instance's settings. Durations are whole milliseconds. */
+/** Schema of an instance's settings. Durations are whole milliseconds. */
 import * as z from "zod";
 
 const nameSchema = z.string().regex(/^[a-z0-9][a-z0-9.-]{0,62}$/, "expected lower-case letters, digits, '-' or '.'");
@@ -9,6 +9,7 @@
 );
 const durationSchema = z.number().int().min(1).max(24 * 3_600_000);
 
+/** Files of the mutual TLS between instances. */
 export const tlsSchema = z.strictObject({
     /** PEM files. They are read again when they change, so that keys can be rotated without a restart. */
     certFile: z.string(),
@@ -17,14 +18,15 @@
 });
 export type TlsSettings = z.infer<typeof tlsSchema>;
 
+/** Settings of one instance, with their defaults. */
 export const instanceSettingsSchema = z.strictObject({
     instance: z.strictObject({ id: nameSchema, zone: nameSchema }),
     listen: z.strictObject({
-        /** Callers' HTTP API. */
+        /** Address of the callers HTTP API. */
         callers: addressSchema,
-        /** Operators' HTTP API. */
+        /** Address of the operators HTTP API. */
         operators: addressSchema,
-        /** gRPC between instances; also the address that is announced to them. */
+        /** Address for gRPC between instances; also announced to the other instances. */
         peers: addressSchema,
     }),
     platform: z.strictObject({
@@ -35,35 +37,35 @@
         readsPerSecond: z.number().int().min(1).default(200),
     }),
     site: z.strictObject({
-        /** Site file that becomes revision 1 when the table service holds no configuration yet. */
+        /** Site file that becomes revision 1 when the table service holds no configuration. */
         bootstrapFile: z.string().optional(),
         pollMs: durationSchema.default(1000),
-        /** Time from the acceptance of a change to its coming into force. */
+        /** Time from the acceptance of a configuration change until it takes effect. */
         leadMs: durationSchema.default(2500),
     }).default({ pollMs: 1000, leadMs: 2500 }),
     leases: z.strictObject({
         controlMs: durationSchema.default(3000),
         taskMs: durationSchema.default(15_000),
-        /** Taken off a lease's end before each use, for the time a command is under way. */
+        /** Time before the end of a lease from which it is no longer used; covers the transit time of commands. */
         marginMs: durationSchema.default(500),
         syncMs: durationSchema.default(900),
     }).default({ controlMs: 3000, taskMs: 15_000, marginMs: 500, syncMs: 900 })
         .refine(leases => leases.syncMs + leases.marginMs < leases.controlMs, {
-            message: "syncMs + marginMs must be below controlMs, or the lease lapses between two renewals",
+            message: "syncMs + marginMs must be below controlMs, or the lease expires between two renewals",
         })
         .refine(leases => leases.controlMs * 2 < leases.taskMs, {
-            message: "taskMs must be above twice controlMs, or tasks lapse before a new owner takes over",
+            message: "taskMs must be above twice controlMs, or task leases expire before a new owner takes over",
         }),
     heartbeat: z.strictObject({
         intervalMs: durationSchema.default(400),
-        /** Silence after which a peer of the own zone counts as dead. */
+        /** Time without a heartbeat after which a peer of the own zone counts as failed. */
         failAfterMs: durationSchema.default(1600),
     }).default({ intervalMs: 400, failAfterMs: 1600 })
         .refine(heartbeat => heartbeat.intervalMs * 2 < heartbeat.failAfterMs, {
             message: "failAfterMs must be above twice intervalMs",
         }),
     workers: z.strictObject({
-        /** Connections to one worker; a worker takes 64 from all instances together. */
+        /** Connections to each worker; a worker accepts 64 from all instances together. */
         connections: z.number().int().min(2).max(60).default(24),
         timeoutMs: durationSchema.default(1000),
         maxAnswerBytes: z.number().int().min(1).default(1_048_576),
@@ -74,9 +76,9 @@
         maxConnections: z.number().int().min(1).default(4096),
     }).default({ maxBodyBytes: 65_536, defaultDeadlineMs: 10_000, maxConnections: 4096 }),
     shutdown: z.strictObject({
-        /** Time for which a leaving instance still serves new requests, since balancers and lists lag. */
+        /** Time for which a leaving instance accepts new requests, because load balancers and membership lists lag. */
         noticeMs: durationSchema.default(3000),
-        /** Longest wait for requests under way. */
+        /** Maximum wait for requests in progress. */
         drainMs: durationSchema.default(30_000),
     }).default({ noticeMs: 3000, drainMs: 30_000 }),
     tls: tlsSchema.optional(),
--- a/src/settings/problems.ts
+++ b/src/settings/problems.ts
@@ -1,6 +1,7 @@
-/** What is wrong with a settings file, in words that name the file, the key and what was expected. */
+/** Error messages for settings files. Each names the file, the key and what was expected. */
 import type * as z from "zod";
 
+/** One problem of a settings file. */
 export interface SettingsProblem {
     readonly file: string;
     /** Dotted path of the key; empty for the whole file. */
@@ -8,7 +9,8 @@
     readonly message: string;
 }
 
-// Thrown through code that knows nothing of settings; the language offers only classes for that.
+/** Lists the problems of a settings file; its message has a line for each. */
+// Thrown through code that does not handle settings errors, and only a class can extend Error.
 // eslint-disable-next-line no-restricted-syntax
 export class SettingsError extends Error {
     constructor(readonly problems: readonly SettingsProblem[]) {
@@ -16,13 +18,14 @@
     }
 }
 
+/** Formats a problem as `file: key: message`, without the key when it is empty. */
 export function formatProblem(problem: SettingsProblem): string {
     return problem.key === ""
         ? `${problem.file}: ${problem.message}`
         : `${problem.file}: ${problem.key}: ${problem.message}`;
 }
 
-/** One problem for each issue of zod; an unknown key is named itself, with the nearest known one. */
+/** Converts the issues of zod to problems, with one problem for each unknown key. */
 export function toProblems(file: string, issues: readonly z.core.$ZodIssue[], knownKeys: KnownKeys): SettingsProblem[] {
     return issues.flatMap(issue => {
         const path = issue.path.map(String);
@@ -37,14 +40,14 @@
     });
 }
 
-/** The keys that may stand at a path. */
+/** Returns the keys that are allowed at a path. */
 export type KnownKeys = (path: readonly string[]) => readonly string[];
 
 function describeUnknownKey(key: string, known: readonly string[]): string {
-    const stem = (name: string) => name.replace(/(Ms|Milliseconds|Seconds|Secs|Sec|Minutes|S)$/, "").toLowerCase();
-    const sameStem = known.find(name => stem(name) === stem(key));
-    if (sameStem?.endsWith("Ms")) {
-        return `unknown key; durations are in milliseconds here: expected "${sameStem}"`;
+    const stripUnit = (name: string) => name.replace(/(Ms|Milliseconds|Seconds|Secs|Sec|Minutes|S)$/, "").toLowerCase();
+    const similarKey = known.find(name => stripUnit(name) === stripUnit(key));
+    if (similarKey?.endsWith("Ms")) {
+        return `unknown key; durations are in milliseconds here: expected "${similarKey}"`;
     }
     return `unknown key; expected one of ${known.join(", ")}`;
 }
