--- a/src/peer/__tests__/tls.test.ts
+++ b/src/peer/__tests__/tls.test.ts
@@ -1,4 +1,7 @@
-/** Mutual TLS between instances: strangers are refused, rotated keys are taken up. */
+/**
+ * Mutual TLS between instances. Guards against accepting a peer without a certificate of the site's authority, and
+ * against a server that keeps using old files after their replacement.
+ */
 import * as forge from "node-forge";
 import * as fs from "node:fs";
 import * as os from "node:os";
@@ -34,7 +37,7 @@
 
 let folder: string;
 let authority: Authority;
-let stranger: Authority;
+let otherAuthority: Authority;
 
 function writeFiles(name: string, issuer: Authority, trusted: Authority): peer.TlsFiles {
     const own = createCertificate(name, issuer);
@@ -49,7 +52,7 @@
 beforeAll(() => {
     folder = fs.mkdtempSync(path.join(os.tmpdir(), "tls-"));
     authority = createCertificate("site");
-    stranger = createCertificate("stranger");
+    otherAuthority = createCertificate("other");
 }, 60_000);
 afterAll(() => fs.rmSync(folder, { recursive: true }));
 
@@ -77,7 +80,7 @@
 
 const refuseAll = () => Promise.reject(new Error("not used"));
 
-test("only holders of a certificate of the site's authority get through, by old and by rotated keys", async () => {
+test("only certificates of the site's authority are accepted, before and after a rotation", async () => {
     const serverFiles = writeFiles("server", authority, authority);
     const service: peer.PeerService = {
         heartbeat: async message => message,
@@ -90,20 +93,31 @@
     const server = await peer.startPeerServer("127.0.0.1:0", service, peer.createTlsFiles(serverFiles));
     const clientFiles = writeFiles("client", authority, authority);
     const outcomes = {
-        member: await call(server.address, peer.createTlsFiles(clientFiles)),
-        stranger: await call(server.address, peer.createTlsFiles(writeFiles("other", stranger, authority))),
-        plain: await call(server.address, peer.createTlsFiles(undefined)),
-        distrustful: await call(server.address, peer.createTlsFiles(writeFiles("wary", authority, stranger))),
+        sameAuthority: await call(server.address, peer.createTlsFiles(clientFiles)),
+        otherAuthority: await call(
+            server.address,
+            peer.createTlsFiles(writeFiles("other", otherAuthority, authority)),
+        ),
+        withoutTls: await call(server.address, peer.createTlsFiles(undefined)),
+        untrustedServer: await call(
+            server.address,
+            peer.createTlsFiles(writeFiles("untrusting", authority, otherAuthority)),
+        ),
     };
-    expect(outcomes).toEqual({ member: true, stranger: false, plain: false, distrustful: false });
-    // The site moves to a new authority: files are replaced under the running server.
-    writeFiles("server", stranger, stranger);
-    const rotated = peer.createTlsFiles(writeFiles("rotated", stranger, stranger));
-    let taken = false;
-    for (let attempt = 0; attempt < 60 && !taken; attempt++) {
-        taken = await call(server.address, rotated);
+    expect(outcomes).toEqual({
+        sameAuthority: true,
+        otherAuthority: false,
+        withoutTls: false,
+        untrustedServer: false,
+    });
+    // The site changes its authority: the files are replaced while the server runs.
+    writeFiles("server", otherAuthority, otherAuthority);
+    const rotated = peer.createTlsFiles(writeFiles("rotated", otherAuthority, otherAuthority));
+    let accepted = false;
+    for (let attempt = 0; attempt < 60 && !accepted; attempt++) {
+        accepted = await call(server.address, rotated);
         await new Promise(resolve => setTimeout(resolve, 250));
     }
-    expect(taken).toBe(true);
+    expect(accepted).toBe(true);
     await server.close(100);
 }, 90_000);
--- a/src/peer/connections.ts
+++ b/src/peer/connections.ts
@@ -1,4 +1,4 @@
-/** gRPC connections to other instances, one channel each, opened when first used. */
+/** gRPC connections to other instances: one channel per address, opened on first use. */
 import * as grpc from "@grpc/grpc-js";
 import type * as observe from "../observe/index";
 import * as generated from "./peer.generated";
@@ -6,7 +6,7 @@
 import * as server from "./server";
 import type * as tlsFiles from "./tlsFiles";
 
-/** Calls of one peer; each resolves to `undefined` when no answer came in time, whether or not it was carried out. */
+/** Calls to one peer. Each resolves to `undefined` when no answer arrived in time; it may still have been executed. */
 export type PeerCalls = {
     readonly [Name in keyof peerService.PeerService]: (
         req: Parameters<peerService.PeerService[Name]>[0],
@@ -14,23 +14,27 @@
     ) => Promise<Awaited<ReturnType<peerService.PeerService[Name]>> | undefined>;
 };
 
+/** Channels to the peers. */
 export interface PeerConnections {
+    /** The calls to a peer. */
     get(peer: { readonly id: string; readonly zone: string; readonly peerAddress: string; }): PeerCalls;
-    /** Closes the channels of peers that are not in the list any more. */
+    /** Closes the channels to all addresses that are not in the set. */
     retain(addresses: ReadonlySet<string>): void;
+    /** Closes all channels. */
     close(): void;
 }
 
 interface ConnectionOptions {
     readonly credentials: tlsFiles.PeerCredentials;
     readonly counters: observe.Counters;
-    /** Whether the network lets this instance reach a zone; tests cut it. */
+    /** Whether this instance can reach a zone; tests simulate a network partition with it. */
     readonly isLinkUp: (zone: string) => boolean;
 }
 
-/** A channel that failed is tried again soon: the peer may be back, and in-zone calls should not wait. */
+/** Maximum pause before a failed channel reconnects; short, so that calls do not wait for a peer that has returned. */
 const MAX_RECONNECT_MS = 500;
 
+/** Creates an empty set of connections. */
 export function createPeerConnections(options: ConnectionOptions): PeerConnections {
     const channels = new Map<string, generated.PeerClient>();
 
--- a/src/peer/index.ts
+++ b/src/peer/index.ts
@@ -1,4 +1,4 @@
-/** Messages and connections between instances. */
+/** gRPC messages, connections and server between instances. */
 export { createPeerConnections, type PeerConnections } from "./connections";
 export type {
     Answer,
--- a/src/peer/peerService.ts
+++ b/src/peer/peerService.ts
@@ -1,6 +1,7 @@
-/** What one instance offers another. The same interface stands for the instance itself, for a remote one and for a fake. */
+/** Calls between instances. Implemented by the instance itself, by clients of remote instances and by fakes. */
 import type * as messages from "./peer.generated";
 
+/** The calls of the `Peer` service in peer.proto. */
 export interface PeerService {
     heartbeat(heartbeat: messages.HeartbeatMessage): Promise<messages.HeartbeatMessage>;
     run(req: messages.RunRequest): Promise<messages.RunReply>;
--- a/src/peer/server.ts
+++ b/src/peer/server.ts
@@ -1,20 +1,22 @@
-/** Serves an instance's peer interface over gRPC. */
+/** gRPC server of an instance's peer service. */
 import * as grpc from "@grpc/grpc-js";
 import * as result from "../result/index";
 import * as generated from "./peer.generated";
 import type * as peerService from "./peerService";
 import type * as tlsFiles from "./tlsFiles";
 
+/** A running server. */
 export interface PeerServer {
     /** `host:port` on which it listens. */
     readonly address: string;
-    /** Stops taking calls and waits for those under way, at most `drainMs`. */
+    /** Stops accepting calls, waits at most `drainMs` for calls in progress and then cancels them. */
     close(drainMs: number): Promise<void>;
 }
 
-/** Largest message either way, in bytes; a rack's report is the largest. */
+/** Maximum size of a message in bytes, in both directions. The report of a rack is the largest message. */
 export const MAX_MESSAGE_BYTES = 8 * 1024 * 1024;
 
+/** Starts a server on `address` (`host:port`; port 0 for any free port). Rejects when it cannot listen there. */
 export async function startPeerServer(
     address: string,
     service: peerService.PeerService,
--- a/src/peer/tlsFiles.ts
+++ b/src/peer/tlsFiles.ts
@@ -1,23 +1,26 @@
-/** Credentials of the connections between instances. */
+/** Credentials for the connections between instances. */
 import * as grpc from "@grpc/grpc-js";
 
+/** Paths of PEM files. */
 export interface TlsFiles {
     readonly certFile: string;
     readonly keyFile: string;
     readonly caFile: string;
 }
 
+/** Credentials for both sides of a connection. */
 export interface PeerCredentials {
     readonly server: grpc.ServerCredentials;
     readonly channel: grpc.ChannelCredentials;
 }
 
-/** How often the files are read again, so that rotated keys are taken up without a restart. */
+/** Interval at which the files are read again, so that rotated keys take effect without a restart. */
 const REFRESH_MS = 5000;
 
 /**
- * Mutual TLS: whoever has no certificate of the site's authority is refused, as a caller and as a callee. Instances are
- * replaced all day at other addresses, so the authority counts and the address does not.
+ * Creates credentials for mutual TLS: clients and servers without a certificate of the site's authority are rejected.
+ * The address in a certificate is not checked, because instances are often replaced at other addresses. Without files,
+ * the connections are not encrypted.
  */
 export function createTlsFiles(files: TlsFiles | undefined): PeerCredentials {
     if (!files) {
