--- a/src/workers/health.ts
+++ b/src/workers/health.ts
@@ -1,92 +1,102 @@
 /**
- * Finds workers that fail the tasks they start.
+ * Quarantines workers that fail the tasks they start.
  *
- * What goes wrong without it: a worker that fails every task at once is always free, so it attracts and ruins work that
- * healthy workers would have done; one notices it by a failure rate far above its peers'. A failure counts against a
- * worker once for each job, and no longer when the job proves to fail everywhere: then the job is at fault.
+ * A worker that fails every task immediately is always free, so it attracts tasks that healthy workers would have
+ * completed; its failure rate is far above that of its peers. Each job counts at most once against a worker, and a job
+ * that fails on healthy workers too no longer counts against any.
  */
 import type * as clock from "../clock/index";
 
+/** Failures of the workers of one rack or zone. */
 export interface WorkerHealth {
+    /** Ends the worker's quarantine and forgets its failures. */
     recordSuccess(workerId: string): void;
+    /** Counts the job against the worker; a failure in quarantine doubles its length. */
     recordFailure(workerId: string, jobId: string): void;
-    /** The job fails on good workers too: its failures no longer count against any worker. */
+    /** Removes the job's failures from all workers, because it fails on healthy ones too. */
     absolve(jobId: string): void;
-    /** Whether the worker takes work now. A worker set aside is let try one task when its time is up. */
+    /** Whether the worker may take tasks: it is not in quarantine, or its quarantine has run out. */
     isUsable(workerId: string): boolean;
+    /** Ids of the workers in quarantine, including those whose quarantine has run out without a success yet. */
     getSetAside(): string[];
 }
 
+/** Options of `createWorkerHealth`. */
 export interface WorkerHealthOptions {
     readonly clock: clock.Clock;
-    /** Workers that are watched together: at most half of them are set aside. */
+    /** Number of workers; at most half of them are quarantined at a time. */
     readonly workerCount: number;
     readonly onSetAside?: (workerId: string) => void;
     readonly onBack?: (workerId: string) => void;
 }
 
-interface Record {
-    /** Jobs that failed since the last success. */
-    readonly blamedBy: Set<string>;
-    setAsideUntil: number | undefined;
-    setAsideMs: number;
+interface HealthRecord {
+    /** Jobs that failed on the worker since its last success. */
+    readonly failedJobIds: Set<string>;
+    /** Monotonic time in milliseconds; `undefined` when the worker is not in quarantine. */
+    quarantinedUntil: number | undefined;
+    /** Length of the current or next quarantine. */
+    quarantineMs: number;
 }
 
-const FAILURES_TO_SET_ASIDE = 3;
-const FIRST_SET_ASIDE_MS = 10_000;
-const MAX_SET_ASIDE_MS = 10 * 60_000;
+/** Distinct jobs that must fail on a worker before it is quarantined. */
+const QUARANTINE_AFTER_JOBS = 3;
+const MIN_QUARANTINE_MS = 10_000;
+const MAX_QUARANTINE_MS = 10 * 60_000;
 
+/** Creates the failure records; no worker has failed yet. */
 export function createWorkerHealth(options: WorkerHealthOptions): WorkerHealth {
-    const records = new Map<string, Record>();
-    const getRecord = (workerId: string): Record => {
+    const records = new Map<string, HealthRecord>();
+    const getRecord = (workerId: string): HealthRecord => {
         const record = records.get(workerId)
-            ?? { blamedBy: new Set(), setAsideUntil: undefined, setAsideMs: FIRST_SET_ASIDE_MS };
+            ?? { failedJobIds: new Set(), quarantinedUntil: undefined, quarantineMs: MIN_QUARANTINE_MS };
         records.set(workerId, record);
         return record;
     };
-    const getSetAside = () => [...records].filter(([, record]) => record.setAsideUntil !== undefined).map(([id]) => id);
+    const getSetAside = () =>
+        [...records].filter(([, record]) => record.quarantinedUntil !== undefined).map(([id]) => id);
 
-    const restore = (workerId: string, record: Record) => {
-        if (record.setAsideUntil !== undefined) {
-            record.setAsideUntil = undefined;
+    const restore = (workerId: string, record: HealthRecord) => {
+        if (record.quarantinedUntil !== undefined) {
+            record.quarantinedUntil = undefined;
             options.onBack?.(workerId);
         }
-        record.setAsideMs = FIRST_SET_ASIDE_MS;
+        record.quarantineMs = MIN_QUARANTINE_MS;
     };
 
     return {
         recordSuccess: workerId => {
             const record = records.get(workerId);
             if (record) {
-                record.blamedBy.clear();
+                record.failedJobIds.clear();
                 restore(workerId, record);
             }
         },
         recordFailure: (workerId, jobId) => {
             const record = getRecord(workerId);
-            record.blamedBy.add(jobId);
-            if (record.setAsideUntil !== undefined) {
-                record.setAsideMs = Math.min(MAX_SET_ASIDE_MS, record.setAsideMs * 2);
-                record.setAsideUntil = options.clock.now() + record.setAsideMs;
+            record.failedJobIds.add(jobId);
+            if (record.quarantinedUntil !== undefined) {
+                record.quarantineMs = Math.min(MAX_QUARANTINE_MS, record.quarantineMs * 2);
+                record.quarantinedUntil = options.clock.now() + record.quarantineMs;
                 return;
             }
-            // When half the workers fail, the cause is not a worker; setting all aside would stop the rack.
-            const mayBeSetAside = (getSetAside().length + 1) * 2 <= Math.max(2, options.workerCount);
-            if (record.blamedBy.size >= FAILURES_TO_SET_ASIDE && mayBeSetAside) {
-                record.setAsideUntil = options.clock.now() + record.setAsideMs;
+            // If half the workers fail, the cause is not a single worker; quarantining all of them would stop the rack.
+            const canQuarantine = (getSetAside().length + 1) * 2 <= Math.max(2, options.workerCount);
+            if (record.failedJobIds.size >= QUARANTINE_AFTER_JOBS && canQuarantine) {
+                record.quarantinedUntil = options.clock.now() + record.quarantineMs;
                 options.onSetAside?.(workerId);
             }
         },
         absolve: jobId => {
             for (const [workerId, record] of records) {
-                if (record.blamedBy.delete(jobId) && record.blamedBy.size < FAILURES_TO_SET_ASIDE) {
+                if (record.failedJobIds.delete(jobId) && record.failedJobIds.size < QUARANTINE_AFTER_JOBS) {
                     restore(workerId, record);
                 }
             }
         },
         isUsable: workerId => {
-            const until = records.get(workerId)?.setAsideUntil;
-            return until === undefined || options.clock.now() >= until;
+            const endsAt = records.get(workerId)?.quarantinedUntil;
+            return endsAt === undefined || options.clock.now() >= endsAt;
         },
         getSetAside,
     };
--- a/src/workers/httpWorker.ts
+++ b/src/workers/httpWorker.ts
@@ -1,18 +1,20 @@
-/** Client of one worker over HTTP, by undici. docs/PLATFORM.md lists the calls. */
+/** HTTP client for one worker, built on undici. docs/PLATFORM.md lists the calls. */
 import * as undici from "undici";
 import * as z from "zod";
 import * as http from "../http/index";
 import * as result from "../result/index";
 import * as port from "./workerPort";
 
+/** Options of `createHttpWorker`. */
 export interface HttpWorkerOptions {
     readonly id: string;
     /** `host:port` of the worker. */
     readonly address: string;
-    /** Upper bound of connections to the worker; requests beyond it wait. */
+    /** Maximum number of connections to the worker; further requests wait for one. */
     readonly connections: number;
-    /** For calls that the worker answers at once. */
+    /** Timeout for calls that the worker answers immediately. */
     readonly timeoutMs: number;
+    /** Maximum size of a response body. */
     readonly maxAnswerBytes: number;
 }
 
@@ -43,18 +45,19 @@
     z.object({ kind: z.literal("notEnded") }),
 ]);
 
-interface Call {
+interface WorkerCall {
     readonly path: string;
     readonly body?: unknown;
     readonly timeoutMs: number;
 }
 
-interface RawAnswer {
+interface RawResponse {
     readonly statusCode: number;
     readonly headers: Readonly<Record<string, string | string[] | undefined>>;
     readonly body: Uint8Array;
 }
 
+/** Creates a client with its own connection pool; `close` destroys the pool. */
 export function createHttpWorker(options: HttpWorkerOptions): port.Worker {
     const pool = new undici.Pool(`http://${options.address}`, {
         connections: options.connections,
@@ -62,7 +65,7 @@
         pipelining: 1,
     });
 
-    const exchange = async (call: Call): Promise<port.WorkerResult<RawAnswer>> => {
+    const sendRequest = async (call: WorkerCall): Promise<port.WorkerResult<RawResponse>> => {
         try {
             const res = await pool.request({
                 method: "POST",
@@ -81,8 +84,8 @@
         }
     };
 
-    const callJson = async <T>(call: Call, schema: z.ZodType<T>): Promise<port.WorkerResult<T>> => {
-        const raw = await exchange(call);
+    const callJson = async <T>(call: WorkerCall, schema: z.ZodType<T>): Promise<port.WorkerResult<T>> => {
+        const raw = await sendRequest(call);
         if (raw.kind === "fault") {
             return raw;
         }
@@ -102,12 +105,12 @@
         acquireLease: (holder, ttlMs) =>
             callJson({ path: "/lease", body: { holder, ttlMs }, timeoutMs: options.timeoutMs }, leaseSchema),
         releaseLease: async token => {
-            await exchange({ path: "/release", body: { token }, timeoutMs: options.timeoutMs });
+            await sendRequest({ path: "/release", body: { token }, timeoutMs: options.timeoutMs });
         },
         sync: order =>
             callJson({ path: "/sync", body: order, timeoutMs: options.timeoutMs + order.waitMs }, reportSchema),
         run: async (token, order, timeoutMs) => {
-            const raw = await exchange({ path: "/run", body: { token, order }, timeoutMs });
+            const raw = await sendRequest({ path: "/run", body: { token, order }, timeoutMs });
             return raw.kind === "fault" ? raw : readRunOutcome(raw.value);
         },
         create: (token, order) =>
@@ -120,18 +123,18 @@
                 statusSchema,
             ),
         getOutcome: async taskId => {
-            const raw = await exchange({ path: "/tasks/outcome", body: { taskId }, timeoutMs: options.timeoutMs });
+            const raw = await sendRequest({ path: "/tasks/outcome", body: { taskId }, timeoutMs: options.timeoutMs });
             return raw.kind === "fault" ? raw : readRunOutcome(raw.value);
         },
         close: () => pool.destroy(),
     };
 }
 
-/** Header of an answer that holds the task id, and the one that holds the digest. */
+/** Response headers that hold the task id and the digest of the body. */
 const TASK_HEADER = "x-task-id";
 const DIGEST_HEADER = "x-digest";
 
-function readRunOutcome(raw: RawAnswer): port.WorkerResult<port.RunOutcome> {
+function readRunOutcome(raw: RawResponse): port.WorkerResult<port.RunOutcome> {
     if (raw.statusCode === 200) {
         const answer = {
             taskId: String(raw.headers[TASK_HEADER] ?? ""),
--- a/src/workers/index.ts
+++ b/src/workers/index.ts
@@ -1,4 +1,4 @@
-/** Workers: the port to them, its HTTP client, control leases, health, and the owner of a rack. */
+/** Workers: their interface, its HTTP client, control leases, health, and the owner of a rack. */
 export { type AnswerCheck, checkAnswer, getBodyDigest } from "./answerCheck";
 export { createWorkerHealth, type WorkerHealth } from "./health";
 export { createHttpWorker, type HttpWorkerOptions } from "./httpWorker";
--- a/src/workers/interactiveRunner.ts
+++ b/src/workers/interactiveRunner.ts
@@ -1,4 +1,4 @@
-/** Runs interactive requests on the workers of one rack, with retries of those that may be repeated. */
+/** Runs interactive requests on the workers of one rack and retries repeatable ones on other workers. */
 import * as crypto from "node:crypto";
 import type * as clock from "../clock/index";
 import type * as observe from "../observe/index";
@@ -8,47 +8,52 @@
 import * as interactiveOutcome from "./interactiveOutcome";
 import * as interactiveSlots from "./interactiveSlots";
 import * as onceRunner from "./onceRunner";
-import type * as rackBooks from "./rackBooks";
+import type * as rackAllocations from "./rackAllocations";
 import type * as port from "./workerPort";
 import type * as workerSession from "./workerSession";
 
+/** Interactive requests of one rack. */
 export interface InteractiveRunner {
+    /** Runs a request; resolves to an answer, a failure or a refusal. */
     run(req: peer.RunRequest): Promise<peer.RunReply>;
-    /** Requests that wait for a slot. */
+    /** Number of requests that wait for a slot. */
     getWaiting(): number;
-    /** Requests under way, waiting ones included. */
+    /** Number of requests in progress, including those that wait for a slot. */
     getActive(): number;
-    /** Something was freed: let waiting requests try again. */
+    /** Assigns slots that became free to waiting requests. */
     wake(): void;
-    /** The rack is given up: waiting and new requests are sent to its next owner; those at a worker go on. */
+    /** Refuses waiting and new requests, which belong to the rack's next owner; requests at a worker continue. */
     close(): void;
 }
 
+/** Options of `createInteractiveRunner`. */
 export interface InteractiveRunnerOptions {
     readonly clock: clock.Clock;
     readonly log: observe.Log;
     readonly counters: observe.Counters;
-    readonly books: rackBooks.RackBooks;
+    readonly allocations: rackAllocations.RackAllocations;
     readonly health: health.WorkerHealth;
     readonly sessions: ReadonlyMap<string, workerSession.WorkerSession>;
     readonly isDrained: (workerId: string) => boolean;
+    /** Maximum number of requests that wait for a slot. */
     readonly getQueueLimit: () => number;
-    /** Length of a task's lease beyond its deadline. */
+    /** Time by which a task's lease outlasts its deadline. */
     readonly leaseMs: number;
 }
 
-/** Other workers that a repeatable request is sent to after the first. */
+/** Maximum number of further workers that a repeatable request is sent to. */
 const MAX_RETRIES = 2;
-/** Retries allowed for each request that succeeded at once, so that a failing rack is not hit with three times its load. */
-const RETRY_RATIO = 0.2;
-const RETRY_BUDGET = 20;
+/** Limits retries to a share of successes; with `MAX_RETRIES` alone a failing rack would get three times its load. */
+const RETRY_TOKENS_PER_SUCCESS = 0.2;
+const MAX_RETRY_TOKENS = 20;
 
+/** Creates a runner without any requests. */
 export function createInteractiveRunner(options: InteractiveRunnerOptions): InteractiveRunner {
     const { clock: time, counters } = options;
     const slots = interactiveSlots.createInteractiveSlots(options);
     const toOutcome = interactiveOutcome.createOutcomeReader(options);
     let active = 0;
-    let retryTokens = RETRY_BUDGET;
+    let retryTokens = MAX_RETRY_TOKENS;
 
     const createOrder = (req: peer.RunRequest, taskId: string, deadline: number): port.TaskOrder => ({
         taskId,
@@ -68,16 +73,16 @@
             result.ResultCode.NoCapacity,
             "no healthy worker has a free slot",
         );
-        /** An earlier try ran, or may have. */
-        let ran = false;
-        const conclude = (outcome: interactiveOutcome.RunOutcome): interactiveOutcome.RunOutcome =>
-            ran && outcome.$case === "refusal" && outcome.value.ran === "no"
+        /** Whether an earlier attempt ran or may have run; a later refusal must then not claim that nothing ran. */
+        let mayHaveRun = false;
+        const withRan = (outcome: interactiveOutcome.RunOutcome): interactiveOutcome.RunOutcome =>
+            mayHaveRun && outcome.$case === "refusal" && outcome.value.ran === "no"
                 ? { $case: "refusal", value: { ...outcome.value, ran: "unknown" } }
                 : outcome;
         for (let attempt = 0; attempt <= MAX_RETRIES; attempt++) {
             const slot = await slots.waitForSlot(req.needs!, excluded, undefined, deadline);
             if (!slot) {
-                return conclude(ran ? last : slots.shed(deadline));
+                return withRan(mayHaveRun ? last : slots.createRefusal(deadline));
             }
             const { session } = slot;
             const token = session.getToken();
@@ -92,24 +97,24 @@
             slot.free();
             if (answered.kind === "ok") {
                 last = toOutcome(answered.value, taskId, session.workerId);
-                ran = true;
+                mayHaveRun = true;
                 if (last.$case === "answer") {
-                    retryTokens = Math.min(RETRY_BUDGET, retryTokens + RETRY_RATIO);
+                    retryTokens = Math.min(MAX_RETRY_TOKENS, retryTokens + RETRY_TOKENS_PER_SUCCESS);
                     return last;
                 }
             }
             else {
-                const started = answered.fault.kind === "lost";
-                ran = ran || started;
+                const wasSent = answered.fault.kind === "lost";
+                mayHaveRun = mayHaveRun || wasSent;
                 counters.increment(`interactive.${answered.fault.kind}`);
-                last = started
+                last = wasSent
                     ? interactiveOutcome.refusal(result.ResultCode.DeadlineExceeded, "the worker did not answer")
                     : interactiveOutcome.refusal(
                         result.ResultCode.WorkerUnavailable,
                         `the worker refused: ${answered.fault.kind}`,
                     );
-                if (started) {
-                    abandon(session, taskId);
+                if (wasSent) {
+                    stopAbandonedTask(session, taskId);
                 }
             }
             excluded.add(session.workerId);
@@ -119,11 +124,11 @@
             retryTokens--;
             counters.increment("interactive.retried");
         }
-        return conclude(last);
+        return withRan(last);
     };
 
-    /** Stops a task nobody waits for any more, so that it does not hold its slot until its lease lapses. */
-    const abandon = (session: workerSession.WorkerSession, taskId: string) => {
+    /** Stops a task whose answer nobody awaits, which would otherwise occupy its slot until its lease expires. */
+    const stopAbandonedTask = (session: workerSession.WorkerSession, taskId: string) => {
         const token = session.getToken();
         if (token !== undefined) {
             session.client.stop(token, taskId, "tombstone", "").catch((err: unknown) => {
--- a/src/workers/interactiveSlots.ts
+++ b/src/workers/interactiveSlots.ts
@@ -1,43 +1,48 @@
-/** The slots for interactive requests on the workers of a rack, and the line of requests that wait for one. */
+/** Assigns the interactive slots of a rack's workers to requests and queues requests while no slot is free. */
 import type * as clock from "../clock/index";
 import type * as observe from "../observe/index";
 import * as placement from "../placement/index";
 import * as result from "../result/index";
 import type * as health from "./health";
 import * as interactiveOutcome from "./interactiveOutcome";
-import type * as rackBooks from "./rackBooks";
+import type * as rackAllocations from "./rackAllocations";
 import type * as workerSession from "./workerSession";
 
+/** Options of `createInteractiveSlots`. */
 export interface InteractiveSlotsOptions {
     readonly clock: clock.Clock;
     readonly counters: observe.Counters;
-    readonly books: rackBooks.RackBooks;
+    readonly allocations: rackAllocations.RackAllocations;
     readonly health: health.WorkerHealth;
     readonly sessions: ReadonlyMap<string, workerSession.WorkerSession>;
     readonly isDrained: (workerId: string) => boolean;
+    /** Maximum number of waiting requests. */
     readonly getQueueLimit: () => number;
 }
 
-/** A worker on which the request is counted; `free` gives it back. */
+/** A worker with a slot and resources allocated to a request; `free` releases them. */
 export interface Slot {
     readonly session: workerSession.WorkerSession;
     readonly free: () => void;
 }
 
+/** Slots of one rack and the requests that wait for them. */
 export interface InteractiveSlots {
-    /** A slot now, or the first that becomes free before the deadline; `undefined` when the line is full or time is up. */
+    /** Resolves to the first free slot, or to `undefined` if the queue is full or closed or the deadline passes. */
     waitForSlot(
         needs: placement.Needs,
         excluded: ReadonlySet<string>,
         preferred: string | undefined,
         deadline: number,
     ): Promise<Slot | undefined>;
-    /** Why a request got no slot. */
-    shed(deadline: number): interactiveOutcome.RunOutcome;
+    /** Creates the refusal of a request that got no slot. */
+    createRefusal(deadline: number): interactiveOutcome.RunOutcome;
+    /** Number of waiting requests. */
     getWaiting(): number;
     isClosed(): boolean;
-    /** Something was freed: let waiting requests try again. */
+    /** Assigns slots that became free to waiting requests. */
     wake(): void;
+    /** Ends all waits without a slot and refuses new ones. */
     close(): void;
 }
 
@@ -49,11 +54,12 @@
     done: boolean;
 }
 
-/** After a refusal for want of a slot: most requests hold theirs for less. */
+/** Retry delay sent to callers that got no slot; most requests occupy a slot for less time. */
 const RETRY_AFTER_MS = 500;
 
+/** Creates the slots of a rack; none is assigned. */
 export function createInteractiveSlots(options: InteractiveSlotsOptions): InteractiveSlots {
-    const { clock: time, counters, books, sessions } = options;
+    const { clock: time, counters, allocations, sessions } = options;
     const waiters: Waiter[] = [];
     let closed = false;
 
@@ -62,30 +68,30 @@
         && !excluded.has(session.workerId)
         && !options.isDrained(session.workerId)
         && options.health.isUsable(session.workerId)
-        && placement.fitsWithin(needs, books.getFree(session));
+        && placement.fitsWithin(needs, allocations.getFree(session));
 
     const pickSession = (needs: placement.Needs, excluded: ReadonlySet<string>, preferred: string | undefined) => {
-        let best: workerSession.WorkerSession | undefined;
-        let bestLoad = Infinity;
+        let leastLoaded: workerSession.WorkerSession | undefined;
+        let minLoad = Infinity;
         for (const session of sessions.values()) {
             if (!isCandidate(session, needs, excluded)) {
                 continue;
             }
-            const load = session.workerId === preferred ? -1 : books.getInteractive(session.workerId);
-            if (load < bestLoad) {
-                best = session;
-                bestLoad = load;
+            const load = session.workerId === preferred ? -1 : allocations.getInteractiveCount(session.workerId);
+            if (load < minLoad) {
+                leastLoaded = session;
+                minLoad = load;
             }
         }
-        return best;
+        return leastLoaded;
     };
 
-    const takeSlot = (session: workerSession.WorkerSession, needs: placement.Needs): Slot => {
-        const undo = books.registerInteractive(session.workerId, needs);
+    const acquireSlot = (session: workerSession.WorkerSession, needs: placement.Needs): Slot => {
+        const unregister = allocations.registerInteractive(session.workerId, needs);
         return {
             session,
             free: () => {
-                undo();
+                unregister();
                 wake();
             },
         };
@@ -97,7 +103,7 @@
             if (session) {
                 waiters.splice(waiters.indexOf(waiter), 1);
                 waiter.done = true;
-                waiter.resolve(takeSlot(session, waiter.needs));
+                waiter.resolve(acquireSlot(session, waiter.needs));
             }
         }
     };
@@ -113,7 +119,7 @@
         }
         const session = pickSession(needs, excluded, preferred);
         if (session) {
-            return Promise.resolve(takeSlot(session, needs));
+            return Promise.resolve(acquireSlot(session, needs));
         }
         if (waiters.length >= options.getQueueLimit()) {
             counters.increment("interactive.shed");
@@ -132,9 +138,9 @@
         });
     };
 
-    const shed = (deadline: number): interactiveOutcome.RunOutcome => {
+    const createRefusal = (deadline: number): interactiveOutcome.RunOutcome => {
         if (closed) {
-            return interactiveOutcome.refusal(result.ResultCode.NotOwner, "the rack has just been given up");
+            return interactiveOutcome.refusal(result.ResultCode.NotOwner, "this instance no longer owns the rack");
         }
         return time.now() >= deadline
             ? interactiveOutcome.refusal(
@@ -151,7 +157,7 @@
 
     return {
         waitForSlot,
-        shed,
+        createRefusal,
         getWaiting: () => waiters.length,
         isClosed: () => closed,
         wake,
--- a/src/workers/onceRunner.ts
+++ b/src/workers/onceRunner.ts
@@ -1,8 +1,8 @@
 /**
- * Runs a request at most once, without the table service. The worker that the request id hashes to is its home. The
- * request runs there under a task id made of the request id, which the worker never runs twice; or, when the home has
- * no room, a tombstone at the home names the other worker, and the first to leave it wins. A second submission finds
- * the task or the tombstone and gets the first one's outcome.
+ * Runs a request at most once, without the table service. The home of a request id is the worker that it hashes to. The
+ * request runs there under a task id derived from the request id, which the worker never runs twice. If the home has no
+ * free slot, a tombstone at the home names another worker; only the first tombstone of a task id takes effect. A second
+ * submission finds the task or the tombstone and gets the outcome of the first.
  */
 import * as crypto from "node:crypto";
 import type * as clock from "../clock/index";
@@ -16,6 +16,7 @@
 
 type RunOutcome = interactiveOutcome.RunOutcome;
 
+/** Options of `createOnceRunner`. */
 export interface OnceRunnerOptions {
     readonly clock: clock.Clock;
     readonly counters: observe.Counters;
@@ -25,10 +26,11 @@
     createOrder(req: peer.RunRequest, taskId: string, deadline: number): port.TaskOrder;
 }
 
-/** Between two questions to a worker that does not say yet what became of a task. */
-const RESOLVE_PAUSE_MS = 100;
+/** Interval between requests to a worker for the outcome of a task. */
+const OUTCOME_POLL_INTERVAL_MS = 100;
 const RETRY_AFTER_MS = 500;
 
+/** Creates a runner for the requests that may run at most once. */
 export function createOnceRunner(options: OnceRunnerOptions) {
     const { clock: time, counters, sessions, slots, toOutcome, createOrder } = options;
     const { refusal, isInvalidAnswer } = interactiveOutcome;
@@ -37,40 +39,40 @@
         const home = sessions.get(req.homeWorkerId);
         const taskId = getOnceTaskId(req.account, req.requestId);
         if (slots.isClosed()) {
-            return slots.shed(deadline);
+            return slots.createRefusal(deadline);
         }
         if (!home?.isReady()) {
             return refusal(
                 result.ResultCode.HomeUnavailable,
-                "the worker that guards this request id is unreachable",
+                "the home worker of this request id is unreachable",
                 RETRY_AFTER_MS,
             );
         }
         if (!req.fresh && home.getIncarnation() > 1) {
-            // A restarted worker has forgotten what it ran; an id that was used before its restart could run twice.
+            // A restarted worker has lost its record of what it ran, so an id used before the restart could run twice.
             counters.increment("interactive.homeForgot");
             return refusal(
                 result.ResultCode.HomeUnavailable,
-                "the worker that guards this request id was restarted",
+                "the home worker of this request id was restarted",
                 RETRY_AFTER_MS,
             );
         }
         const slot = await slots.waitForSlot(req.needs!, new Set(), home.workerId, deadline);
         if (!slot) {
-            return slots.shed(deadline);
+            return slots.createRefusal(deadline);
         }
         try {
             if (slot.session === home) {
-                return await runToTruth(home, createOrder(req, taskId, deadline), deadline);
+                return await runToOutcome(home, createOrder(req, taskId, deadline), deadline);
             }
-            return await runElsewhere(req, home, slot.session, taskId, deadline);
+            return await runOnOtherWorker(req, home, slot.session, taskId, deadline);
         }
         finally {
             slot.free();
         }
     };
 
-    const runElsewhere = async (
+    const runOnOtherWorker = async (
         req: peer.RunRequest,
         home: workerSession.WorkerSession,
         other: workerSession.WorkerSession,
@@ -81,56 +83,60 @@
         if (token === undefined) {
             return refusal(
                 result.ResultCode.HomeUnavailable,
-                "the worker that guards this request id is unreachable",
+                "the home worker of this request id is unreachable",
                 RETRY_AFTER_MS,
             );
         }
         const claim = `${other.workerId}/${crypto.randomUUID()}`;
         const claimed = await home.client.stop(token, taskId, "tombstone", claim);
         if (claimed.kind === "fault") {
-            // The claim may have been left; whoever asks again finds it, and the other worker is told never to start.
-            return resolve(other, taskId, deadline);
+            // A later submission may find this claim if it took effect, so the task is prevented from starting there.
+            return resolveOutcome(other, taskId, deadline);
         }
         const status = claimed.value;
         if (status.state !== "tombstoned") {
-            return runToTruth(home, createOrder(req, taskId, deadline), deadline);
+            return runToOutcome(home, createOrder(req, taskId, deadline), deadline);
         }
         if (status.note !== claim) {
             const chosen = sessions.get(status.note.slice(0, status.note.lastIndexOf("/")));
             return chosen
-                ? resolve(chosen, taskId, deadline)
+                ? resolveOutcome(chosen, taskId, deadline)
                 : refusal(
                     result.ResultCode.Unresolved,
-                    "an earlier submission of this request id is under way",
+                    "an earlier submission of this request id is in progress",
                     RETRY_AFTER_MS,
                 );
         }
-        return runToTruth(other, createOrder(req, taskId, deadline), deadline);
+        return runToOutcome(other, createOrder(req, taskId, deadline), deadline);
     };
 
-    /** Sends the task, and when the answer is lost finds out from the worker what became of it. */
-    const runToTruth = async (
+    /** Sends the task; if the answer is lost or invalid, asks the worker for the outcome. */
+    const runToOutcome = async (
         session: workerSession.WorkerSession,
         order: port.TaskOrder,
         deadline: number,
     ): Promise<RunOutcome> => {
         const token = session.getToken();
         if (token === undefined) {
-            return refusal(result.ResultCode.WorkerUnavailable, "the worker's lease lapsed", RETRY_AFTER_MS);
+            return refusal(
+                result.ResultCode.WorkerUnavailable,
+                "the control lease of the worker expired",
+                RETRY_AFTER_MS,
+            );
         }
         const answered = await session.client.run(token, order, Math.max(1, deadline - time.now()));
         if (answered.kind === "ok") {
             const outcome = toOutcome(answered.value, order.taskId, session.workerId);
-            return isInvalidAnswer(outcome) ? resolve(session, order.taskId, deadline) : outcome;
+            return isInvalidAnswer(outcome) ? resolveOutcome(session, order.taskId, deadline) : outcome;
         }
         switch (answered.fault.kind) {
             case "lost":
                 counters.increment("interactive.lost");
-                return resolve(session, order.taskId, deadline);
+                return resolveOutcome(session, order.taskId, deadline);
             case "tombstoned":
                 return refusal(
                     result.ResultCode.WorkerUnavailable,
-                    "an earlier submission was barred before it started",
+                    "an earlier submission of this request id was stopped before it started",
                     RETRY_AFTER_MS,
                 );
             case "held":
@@ -147,8 +153,8 @@
         }
     };
 
-    /** Asks the worker until the deadline what became of the task; one that never started is barred from starting. */
-    const resolve = async (
+    /** Polls the worker for the outcome until the deadline; a task that has not started is prevented from starting. */
+    const resolveOutcome = async (
         session: workerSession.WorkerSession,
         taskId: string,
         deadline: number,
@@ -159,18 +165,18 @@
             const outcome = known.kind === "ok"
                 ? toOutcome(known.value, taskId, session.workerId)
                 : known.fault.kind === "unknownTask" && token !== undefined
-                ? await bar(session, token, taskId)
+                ? await preventStart(session, token, taskId)
                 : undefined;
             if (outcome && !isInvalidAnswer(outcome)) {
                 return outcome;
             }
-            await time.sleep(RESOLVE_PAUSE_MS);
+            await time.sleep(OUTCOME_POLL_INTERVAL_MS);
         }
         counters.increment("interactive.unresolved");
-        return refusal(result.ResultCode.Unresolved, "the worker did not say whether the work ran", RETRY_AFTER_MS);
+        return refusal(result.ResultCode.Unresolved, "the worker did not report whether the work ran", RETRY_AFTER_MS);
     };
 
-    const bar = async (
+    const preventStart = async (
         session: workerSession.WorkerSession,
         token: number,
         taskId: string,
@@ -183,7 +189,7 @@
             case "tombstoned":
                 return refusal(
                     result.ResultCode.WorkerUnavailable,
-                    "the work was proven not to have started",
+                    "the work did not start and can no longer start",
                     RETRY_AFTER_MS,
                 );
             case "failed":
@@ -200,7 +206,7 @@
     return { runOnce };
 }
 
-/** The same for every submission of the same request id by the same account. */
+/** Task id of a request that may run at most once; depends on the account and the request id only. */
 export function getOnceTaskId(account: string, requestId: string): string {
     return `o.${crypto.createHash("sha256").update(`${account}\n${requestId}`).digest("hex").slice(0, 40)}`;
 }
--- a/src/workers/rackBooks.ts
+++ b/src/workers/rackAllocations.ts
@@ -1,25 +1,28 @@
-/** What the workers of a rack hold, as their owner knows it: tasks of queues, and interactive requests under way. */
+/** Resources of a rack's workers that queued tasks and interactive requests occupy, as known to the rack's owner. */
 import type * as configuration from "../configuration/index";
 import * as placement from "../placement/index";
 import type * as workerSession from "./workerSession";
 
-export interface RackBooks {
-    /** What is free on the worker for an interactive request. */
+/** Resource allocations on the workers of one rack. */
+export interface RackAllocations {
+    /** Resources that are free on the worker for an interactive request. */
     getFree(session: workerSession.WorkerSession): placement.Needs;
-    /** Whether a queued task still fits beside what runs, with the interactive reserve kept. */
+    /** Whether a further queued task fits on the worker without the resources reserved for interactive requests. */
     hasRoom(session: workerSession.WorkerSession, needs: placement.Needs): boolean;
-    getInteractive(workerId: string): number;
-    /** Counts an interactive request in. Returns the undo. */
+    /** Number of interactive requests on the worker. */
+    getInteractiveCount(workerId: string): number;
+    /** Allocates resources to an interactive request; the returned function releases them. */
     registerInteractive(workerId: string, needs: placement.Needs): () => void;
 }
 
-export function createRackBooks(
+/** Creates the allocations of a rack; no interactive request is registered. */
+export function createRackAllocations(
     getCapacity: (workerId: string) => configuration.Capacity,
     getReserve: () => configuration.Limits["interactiveReserve"],
-): RackBooks {
+): RackAllocations {
     const interactive = new Map<string, { count: number; needs: placement.Needs; }>();
 
-    const getQueued = (session: workerSession.WorkerSession): placement.Needs => {
+    const getQueuedNeeds = (session: workerSession.WorkerSession): placement.Needs => {
         let used = placement.NO_NEEDS;
         for (const task of session.getTasks().values()) {
             const holds = task.status.state === "prepared" || task.status.state === "running";
@@ -32,7 +35,7 @@
 
     return {
         getFree: session => {
-            const queued = placement.subtractNeeds(getCapacity(session.workerId), getQueued(session));
+            const queued = placement.subtractNeeds(getCapacity(session.workerId), getQueuedNeeds(session));
             return placement.subtractNeeds(queued, interactive.get(session.workerId)?.needs ?? placement.NO_NEEDS);
         },
         hasRoom: (session, needs) => {
@@ -40,9 +43,9 @@
                 accelerators: 0,
                 ...getReserve(),
             });
-            return placement.fitsWithin(needs, placement.subtractNeeds(capacity, getQueued(session)));
+            return placement.fitsWithin(needs, placement.subtractNeeds(capacity, getQueuedNeeds(session)));
         },
-        getInteractive: workerId => interactive.get(workerId)?.count ?? 0,
+        getInteractiveCount: workerId => interactive.get(workerId)?.count ?? 0,
         registerInteractive: (workerId, needs) => {
             const before = interactive.get(workerId) ?? { count: 0, needs: placement.NO_NEEDS };
             interactive.set(workerId, { count: before.count + 1, needs: placement.addNeeds(before.needs, needs) });
--- a/src/workers/rackCommands.ts
+++ b/src/workers/rackCommands.ts
@@ -1,32 +1,35 @@
-/** Carries out the queue owner's commands at the workers of a rack. */
+/** Executes the queue owner's commands on the workers of a rack. */
 import type * as observe from "../observe/index";
 import type * as peer from "../peer/index";
-import type * as rackBooks from "./rackBooks";
+import type * as rackAllocations from "./rackAllocations";
 import * as port from "./workerPort";
 import type * as workerSession from "./workerSession";
 
+/** Commands for the workers of one rack. */
 export interface RackCommands {
+    /** Executes all commands concurrently; the results are in their order. */
     execute(command: peer.RackCommand): Promise<peer.RackCommandReply>;
 }
 
 interface RackCommandsOptions {
     readonly sessions: ReadonlyMap<string, workerSession.WorkerSession>;
-    readonly books: rackBooks.RackBooks;
+    readonly allocations: rackAllocations.RackAllocations;
     readonly leases: workerSession.LeaseTimes;
-    /** Whether the worker takes no new tasks. */
+    /** Whether the worker must not take new tasks. */
     readonly isClosed: (workerId: string) => boolean;
     readonly counters: observe.Counters;
 }
 
+/** Creates the executor of a rack's commands. */
 export function createRackCommands(options: RackCommandsOptions): RackCommands {
-    const { sessions, books, counters } = options;
+    const { sessions, allocations, counters } = options;
 
     const toResult = (
         session: workerSession.WorkerSession,
         answered: port.WorkerResult<port.TaskStatus>,
     ): peer.CommandResult => {
         if (answered.kind === "ok") {
-            session.noteStatus(answered.value);
+            session.recordStatus(answered.value);
             return statusResult(session.workerId, answered.value);
         }
         counters.increment(`commands.${answered.fault.kind}`);
@@ -53,10 +56,10 @@
         const { action } = command;
         switch (action?.$case) {
             case "create": {
-                const order = toOrder(action.value, options.leases.taskMs);
-                // The order may be a repetition whose first answer was lost: a known task counts already.
+                const order = toTaskOrder(action.value, options.leases.taskMs);
+                // The order may repeat one whose answer was lost; the resources of a known task are already allocated.
                 const isNew = !session.getTasks().has(order.taskId);
-                if (isNew && (options.isClosed(session.workerId) || !books.hasRoom(session, order.needs))) {
+                if (isNew && (options.isClosed(session.workerId) || !allocations.hasRoom(session, order.needs))) {
                     return refused("noRoom");
                 }
                 return toResult(session, await session.client.create(token, order));
@@ -82,6 +85,7 @@
     };
 }
 
+/** Converts a task to its entry in a rack report; without an answer the digest is empty and the length 0. */
 export function toTaskReport(
     workerId: string,
     task: workerSession.SessionTask,
@@ -117,7 +121,7 @@
     return { result: { $case: "unknown", value: { message } } };
 }
 
-function toOrder(create: peer.TaskCreate, leaseMs: number): port.TaskOrder {
+function toTaskOrder(create: peer.TaskCreate, leaseMs: number): port.TaskOrder {
     return {
         taskId: create.taskId,
         account: create.account,
--- a/src/workers/rackOwner.ts
+++ b/src/workers/rackOwner.ts
@@ -1,6 +1,6 @@
 /**
- * The owner of one rack: holds its workers' leases, runs interactive requests there, carries out the queue owner's
- * commands, and reports what runs.
+ * The owner of one rack: holds its workers' leases, runs interactive requests on them, executes the queue owner's
+ * commands, and reports the workers' tasks.
  */
 import * as async from "../async/index";
 import type * as platform from "../backing/index";
@@ -12,23 +12,29 @@
 import * as answerCheck from "./answerCheck";
 import * as healthModule from "./health";
 import * as interactiveRunner from "./interactiveRunner";
-import * as rackBooks from "./rackBooks";
+import * as rackAllocations from "./rackAllocations";
 import * as rackCommands from "./rackCommands";
 import type * as port from "./workerPort";
 import * as workerSession from "./workerSession";
 
+/** One rack, as long as this instance owns it. */
 export interface RackOwner {
     readonly rackId: string;
+    /** Runs an interactive request. */
     run(req: peer.RunRequest): Promise<peer.RunReply>;
+    /** Executes commands of the queue owner. */
     command(command: peer.RackCommand): Promise<peer.RackCommandReply>;
+    /** Usable workers, free slots and waiting requests. */
     getLoad(): peer.RackLoad;
+    /** State of all workers and queued tasks, with the next sequence number. */
     getReport(): peer.RackReport;
-    /** Whether requests are under way. */
+    /** Whether interactive requests are in progress. */
     isBusy(): boolean;
-    /** Holds the rack until the signal is aborted, then gives its leases back. */
+    /** Holds the workers' leases until the signal is aborted, then releases them and waits for requests in progress. */
     own(signal: AbortSignal): Promise<void>;
 }
 
+/** Options of `createRackOwner`. */
 export interface RackOwnerOptions {
     readonly rack: configuration.Topology["racks"][number];
     readonly capacity: configuration.Capacity;
@@ -41,11 +47,11 @@
     readonly objects: platform.ObjectStore;
     readonly createClient: (worker: { readonly id: string; readonly address: string; }) => port.Worker;
     readonly getLimits: () => configuration.Limits;
-    /** Workers that take no new work: drained by the preset, or leaving by the platform's list. */
+    /** Whether the worker takes no new work: drained by the preset, or listed as leaving by the platform. */
     readonly isDrained: (workerId: string) => boolean;
-    /** Whether the instance was stopped as by a crash: nothing is finished or given back. */
+    /** Whether the instance stops as in a crash: requests are not finished and leases are not released. */
     readonly isAbandoned: () => boolean;
-    /** Sends a report to the queue owner of the rack's zone; `undefined` when it was not reached. */
+    /** Sends a report to the queue owner of the rack's zone; resolves to `undefined` if there was no reply. */
     readonly sendReport: (report: peer.RackReport) => Promise<peer.RackReportReply | undefined>;
 }
 
@@ -54,16 +60,17 @@
     readonly length: number;
 }
 
-/** A report follows a change after this long, so that changes that come together share one. */
+/** Delay between a change and its report, so that one report covers several changes. */
 const REPORT_DELAY_MS = 10;
 const REPORT_INTERVAL_MS = 1000;
-const IDLE_POLL_MS = 20;
+const IDLE_POLL_INTERVAL_MS = 20;
 
-/** Key in the object store of the answer that an attempt of a job gave. */
+/** Object store key of the answer of a job's attempt. */
 export function getResultKey(jobId: string, attempt: number): string {
     return `result/${jobId}.${attempt}`;
 }
 
+/** Creates an owner that holds no leases until `own` is called. */
 export function createRackOwner(options: RackOwnerOptions): RackOwner {
     const { rack, clock: time, counters, log } = options;
     const sessions = new Map<string, workerSession.WorkerSession>();
@@ -77,16 +84,19 @@
         workerCount: rack.workers.length,
         onSetAside: worker => {
             counters.increment("workers.setAside");
-            log.warn("worker set aside", { worker });
+            log.warn("worker quarantined", { worker });
         },
-        onBack: worker => log.info("worker back", { worker }),
+        onBack: worker => log.info("worker restored", { worker }),
     });
-    const books = rackBooks.createRackBooks(() => options.capacity, () => options.getLimits().interactiveReserve);
+    const allocations = rackAllocations.createRackAllocations(
+        () => options.capacity,
+        () => options.getLimits().interactiveReserve,
+    );
     const runner = interactiveRunner.createInteractiveRunner({
         clock: time,
         log: options.log,
         counters,
-        books,
+        allocations,
         health,
         sessions,
         isDrained: options.isDrained,
@@ -94,7 +104,7 @@
         leaseMs: options.leases.taskMs,
     });
 
-    const noteChange = () => {
+    const handleChange = () => {
         runner.wake();
         changed.resolve();
     };
@@ -108,15 +118,15 @@
             log,
             retry: options.retry,
             leases: options.leases,
-            onChange: noteChange,
-            keepsLease: options.isAbandoned,
+            onChange: handleChange,
+            shouldKeepLease: options.isAbandoned,
         });
         sessions.set(worker.id, session);
     }
 
     const commands = rackCommands.createRackCommands({
         sessions,
-        books,
+        allocations,
         leases: options.leases,
         isClosed: workerId => options.isDrained(workerId),
         counters,
@@ -142,7 +152,7 @@
                 workerId: session.workerId,
                 usable: isUsable(session),
                 reached: session.isReady(),
-                interactiveSlots: books.getInteractive(session.workerId),
+                interactiveSlots: allocations.getInteractiveCount(session.workerId),
                 reason: session.isReady() ? "" : "no lease",
             })),
             tasks: [...sessions.values()].flatMap(getTaskReports),
@@ -150,8 +160,8 @@
     };
 
     /**
-     * The answer is stored before the end of the task is reported, so that a job never counts as done while its result
-     * could still be lost with the worker. While the object store is down the report goes without it and is repeated.
+     * Stores answers before the end of their tasks is reported; otherwise a job could count as done and its result be
+     * lost with the worker. While the object store is down, reports are sent without the answer and repeated.
      */
     const storeAnswers = async (session: workerSession.WorkerSession): Promise<void> => {
         for (const { status } of session.getTasks().values()) {
@@ -201,7 +211,7 @@
         }
     };
 
-    const reportLoop = async (signal: AbortSignal): Promise<void> => {
+    const runReportLoop = async (signal: AbortSignal): Promise<void> => {
         while (!signal.aborted) {
             await Promise.race([changed.promise, time.sleep(REPORT_INTERVAL_MS, signal)]);
             await time.sleep(REPORT_DELAY_MS, signal);
@@ -224,7 +234,7 @@
             return {
                 rackId: rack.id,
                 usableWorkers: usable.length,
-                freeSlots: usable.reduce((sum, session) => sum + Math.max(0, books.getFree(session).slots), 0),
+                freeSlots: usable.reduce((sum, session) => sum + Math.max(0, allocations.getFree(session).slots), 0),
                 waiting: runner.getWaiting(),
             };
         },
@@ -234,10 +244,10 @@
             log.info("rack taken", { rack: rack.id });
             counters.increment("racks.taken");
             signal.addEventListener("abort", runner.close, { once: true });
-            await Promise.all([...[...sessions.values()].map(session => session.run(signal)), reportLoop(signal)]);
-            // Requests that are at a worker end there though the lease has passed on; closing now would cut their answers.
+            await Promise.all([...[...sessions.values()].map(session => session.run(signal)), runReportLoop(signal)]);
+            // Requests at a worker complete after the lease is released; closing clients now would lose their answers.
             while (runner.getActive() > 0 && !options.isAbandoned()) {
-                await time.sleep(IDLE_POLL_MS);
+                await time.sleep(IDLE_POLL_INTERVAL_MS);
             }
             await Promise.all([...sessions.values()].map(session => session.client.close()));
             log.info("rack given up", { rack: rack.id });
@@ -245,7 +255,7 @@
     };
 }
 
-/** Job id, attempt and index of a task of a queue. */
+/** Splits the id of a queued task; parts that are missing are empty. */
 export function splitTaskId(taskId: string): [jobId: string, attempt: string, index: string] {
     const [jobId = "", attempt = "", index = ""] = taskId.split(".");
     return [jobId, attempt, index];
--- a/src/workers/workerPort.ts
+++ b/src/workers/workerPort.ts
@@ -1,11 +1,11 @@
 /**
- * The port to one worker: leases with fencing tokens, tasks and their answers.
+ * Interface of one worker: leases with fencing tokens, tasks and their answers.
  *
- * Every command carries a token. The worker refuses a command whose token is older than the newest it granted, or
- * whose lease lapsed, so that two instances that both believe to own the worker cannot both act on it.
+ * Every command carries a token. The worker refuses a command if it has granted a newer token or the lease expired, so
+ * that of two instances that both consider themselves the owner only one can act on the worker.
  */
 
-/** What a task takes of one worker. Memory in mebibytes. */
+/** Resources that a task requires of one worker; memory in mebibytes. */
 export interface TaskNeeds {
     readonly accelerators: number;
     readonly slots: number;
@@ -13,41 +13,45 @@
     readonly memoryMb: number;
 }
 
+/** States of a task at a worker. */
 export const TaskState = {
-    /** Holds its resources and waits for the start command. */
+    /** The task holds its resources and waits for the start command. */
     Prepared: "prepared",
     Running: "running",
     Finished: "finished",
     Failed: "failed",
-    /** Stopped by command, or because its lease lapsed, after it had started. */
+    /** Stopped after its start, by command or because its lease expired. */
     Stopped: "stopped",
-    /** Never started at this worker, and never will. */
+    /** Never started on this worker and can no longer start. */
     Tombstoned: "tombstoned",
 } as const;
 export type TaskState = typeof TaskState[keyof typeof TaskState];
 
+/** A task as its worker reports it. */
 export interface TaskStatus {
     readonly taskId: string;
     readonly state: TaskState;
     readonly needs: TaskNeeds;
-    /** The zone whose queue owner must hear of the task's end; empty for interactive requests. */
+    /** Zone whose queue owner must learn of the task's end; empty for interactive requests. */
     readonly queueZone: string;
-    /** Free text that whoever created the task or tombstone left with it. */
+    /** Free text set by the creator of the task or tombstone. */
     readonly note: string;
-    /** Milliseconds the task has run or ran. */
+    /** Run time so far, or in total once the task has ended, in milliseconds. */
     readonly ranMs: number;
-    /** Milliseconds of work, over all attempts, that a checkpoint saved; 0 without one. */
+    /** Work of all attempts saved by the last checkpoint, in milliseconds; 0 without one. */
     readonly savedMs: number;
-    /** Why the task failed; empty otherwise. */
+    /** Reason for a failure; otherwise empty. */
     readonly message: string;
 }
 
+/** A control lease on a worker. */
 export interface WorkerLease {
+    /** Fencing token; higher than all tokens granted earlier. */
     readonly token: number;
     readonly ttlMs: number;
 }
 
-/** An answer and what is needed to check that it is whole and belongs to its request. */
+/** An answer with the fields that verify that it is complete and belongs to its request. */
 export interface TaskAnswer {
     readonly taskId: string;
     readonly body: Uint8Array;
@@ -55,6 +59,7 @@
     readonly digest: string;
 }
 
+/** Arguments of the creation of a task. */
 export interface TaskOrder {
     readonly taskId: string;
     readonly account: string;
@@ -62,41 +67,43 @@
     readonly queueZone: string;
     readonly note: string;
     readonly payload: string;
-    /** Milliseconds after which the worker stops the task unless its lease is renewed. */
+    /** Duration of the task lease in milliseconds; the worker stops the task when it expires. */
     readonly leaseMs: number;
-    /** Milliseconds of work that an earlier attempt saved by a checkpoint; the task continues from there. */
+    /** Work saved by a checkpoint of an earlier attempt, in milliseconds; the task resumes from there. */
     readonly resumeMs: number;
-    /** False only prepares the task: it holds its resources until it is started. */
+    /** Whether the task starts immediately; otherwise it only holds its resources until the start command. */
     readonly start: boolean;
 }
 
+/** Arguments of `sync`: lease renewals and a long poll for state changes. */
 export interface SyncOrder {
     readonly token: number;
     readonly ttlMs: number;
-    /** Tasks whose leases are renewed for `leaseMs`. */
+    /** Ids of the tasks whose leases are extended by `leaseMs`. */
     readonly renew: readonly string[];
     readonly leaseMs: number;
-    /** Ended tasks whose outcome is recorded; the worker may forget them. */
+    /** Ids of ended tasks whose outcome is recorded; the worker may discard them. */
     readonly acknowledged: readonly string[];
-    /** The worker answers at once if its state changed since `sequence`, otherwise after this many milliseconds. */
+    /** Maximum time in milliseconds that the worker waits for a change after `sequence` before it answers. */
     readonly waitMs: number;
     readonly sequence: number;
 }
 
+/** State of a worker. */
 export interface SyncReport {
-    /** Rises with every change of state of a task. */
+    /** Increases with every change of a task's state. */
     readonly sequence: number;
-    /** Rises when the worker restarts and forgets its tasks. */
+    /** Increases when the worker restarts, which loses its tasks. */
     readonly incarnation: number;
     /** Milliseconds since the worker started. */
     readonly uptimeMs: number;
-    /** All tasks that hold resources and all that ended and are not acknowledged. */
+    /** All tasks that hold resources and all ended tasks that are not acknowledged. */
     readonly tasks: readonly TaskStatus[];
 }
 
-/** A refusal by the worker, or the lack of an answer. */
+/** A refusal by the worker, or a missing answer. */
 export type WorkerFault =
-    /** Another holder's lease is valid for `retryAfterMs` more. */
+    /** Another holder's lease is valid for another `retryAfterMs`. */
     | { readonly kind: "held"; readonly retryAfterMs: number; }
     | { readonly kind: "staleToken"; }
     | { readonly kind: "noRoom"; }
@@ -105,39 +112,47 @@
     | { readonly kind: "notEnded"; }
     /** The command was not sent. */
     | { readonly kind: "unreachable"; readonly message: string; }
-    /** The command was sent and no whole answer came: it may have taken effect. */
+    /** The command was sent but no complete answer arrived; it may have taken effect. */
     | { readonly kind: "lost"; readonly message: string; };
 
+/** Result of a call to a worker. */
 export type WorkerResult<T> =
     | { readonly kind: "ok"; readonly value: T; }
     | { readonly kind: "fault"; readonly fault: WorkerFault; };
 
+/** How a task ended. */
 export type RunOutcome =
     | { readonly kind: "finished"; readonly answer: TaskAnswer; }
     | { readonly kind: "failed"; readonly message: string; }
     | { readonly kind: "stopped"; };
 
+/** How a task is stopped. */
 export const StopMode = {
-    /** Ends the task now; a task that never started is barred from ever starting. */
+    /** Stops the task immediately; a task that has not started can no longer start. */
     Tombstone: "tombstone",
-    /** Saves the task's progress, then ends it. */
+    /** Saves a checkpoint, then stops the task. */
     Checkpoint: "checkpoint",
 } as const;
 export type StopMode = typeof StopMode[keyof typeof StopMode];
 
+/** Client of one worker. */
 export interface Worker {
     readonly id: string;
+    /** Acquires the control lease with a new token; refused with `held` while another holder's lease is valid. */
     acquireLease(holder: string, ttlMs: number): Promise<WorkerResult<WorkerLease>>;
     releaseLease(token: number): Promise<void>;
+    /** Extends the control lease and task leases, and resolves to the worker's tasks. */
     sync(order: SyncOrder): Promise<WorkerResult<SyncReport>>;
-    /** Runs a task to its end and returns its answer; a task id that exists already is attached to, not run again. */
+    /** Runs a task and resolves to its outcome; if the task id exists already, waits for that task instead. */
     run(token: number, order: TaskOrder, timeoutMs: number): Promise<WorkerResult<RunOutcome>>;
     /** Creates a task; idempotent by task id. */
     create(token: number, order: TaskOrder): Promise<WorkerResult<TaskStatus>>;
+    /** Starts a prepared task. */
     start(token: number, taskId: string): Promise<WorkerResult<TaskStatus>>;
-    /** Ends a task, or bars one that is unknown. The status tells which; `note` is kept only with a new tombstone. */
+    /** Stops a task or prevents an unknown one from starting; its status shows which. Only new tombstones keep `note`. */
     stop(token: number, taskId: string, mode: StopMode, note: string): Promise<WorkerResult<TaskStatus>>;
-    /** The outcome of a task that ended; `notEnded` while it holds resources, `unknownTask` when it never started here. */
+    /** Outcome of an ended task; `notEnded` while it holds resources, `unknownTask` if it never started here. */
     getOutcome(taskId: string): Promise<WorkerResult<RunOutcome>>;
+    /** Closes the connections; calls in progress fail. */
     close(): Promise<void>;
 }
--- a/src/workers/workerSession.ts
+++ b/src/workers/workerSession.ts
@@ -1,4 +1,4 @@
-/** The connection to one worker: a loop that holds the control lease, renews task leases and learns what runs. */
+/** Session with one worker: a loop that holds the control lease, renews task leases and tracks the worker's tasks. */
 import type * as platform from "../backing/index";
 import type * as clock from "../clock/index";
 import type * as observe from "../observe/index";
@@ -6,34 +6,40 @@
 import * as taskNote from "./taskNote";
 import type * as port from "./workerPort";
 
+/** Session of a rack's owner with one worker. */
 export interface WorkerSession {
     readonly workerId: string;
     readonly client: port.Worker;
-    /** The fencing token, if the lease is valid now with the margin taken off; `undefined` forbids any command. */
+    /** Fencing token while the lease, less a safety margin, is valid; no command may be sent when it is `undefined`. */
     getToken(): number | undefined;
     /** Whether the lease is valid and the worker's tasks are known. */
     isReady(): boolean;
+    /** Known tasks by id. */
     getTasks(): ReadonlyMap<string, SessionTask>;
-    /** Milliseconds since the worker was last heard. */
-    getSilentMs(): number;
+    /** Milliseconds since the last answer that granted or renewed the lease; infinite before the first. */
+    getMsSinceContact(): number;
+    /** Incarnation of the worker; 0 before its first report. */
     getIncarnation(): number;
-    /** Takes in the status that a command returned. */
-    noteStatus(status: port.TaskStatus): void;
-    /** The gang of this task runs whole: its lease may be renewed. */
+    /** Records the status that a command returned. */
+    recordStatus(status: port.TaskStatus): void;
+    /** Allows the renewal of the task's lease, because all members of its gang run. */
     confirm(taskId: string): void;
-    /** The end of this task is recorded: the worker may forget it. */
+    /** Forgets a task whose end is recorded; the worker is told with the next sync. */
     acknowledge(taskId: string): void;
     /** Holds the lease until the signal is aborted, then releases it. */
     run(signal: AbortSignal): Promise<void>;
 }
 
+/** A task of the worker. */
 export interface SessionTask {
     readonly status: port.TaskStatus;
-    /** Monotonic time at which the status was learned. */
+    /** Monotonic time in milliseconds at which the status was received. */
     readonly learnedAt: number;
+    /** Whether all members of the task's gang are known to run, so that its lease is renewed. */
     readonly confirmed: boolean;
 }
 
+/** Options of `createWorkerSession`. */
 export interface WorkerSessionOptions {
     readonly client: port.Worker;
     readonly holder: string;
@@ -42,92 +48,97 @@
     readonly log: observe.Log;
     readonly retry: platform.RetryPolicy;
     readonly leases: LeaseTimes;
-    /** Called after each change of what is known of the worker. */
+    /** Called after each change of the lease or of the known tasks. */
     readonly onChange: () => void;
-    /** Whether a stopping session leaves its lease to lapse, as a crash would. */
-    readonly keepsLease: () => boolean;
+    /** Whether a session that stops lets its lease expire, as in a crash, and does not release it. */
+    readonly shouldKeepLease: () => boolean;
 }
 
-/** In milliseconds; see the instance's settings. */
+/** Lease durations in milliseconds, from the settings of the instance. */
 export interface LeaseTimes {
+    /** Duration of a worker's control lease. */
     readonly controlMs: number;
+    /** Duration of a task lease. */
     readonly taskMs: number;
+    /** Time by which the holder treats a control lease as expired before the worker does. */
     readonly marginMs: number;
+    /** Maximum time that the worker waits for a change before it answers a sync. */
     readonly syncMs: number;
 }
 
 /**
- * Whether an owner that did not start the task may renew it: a task of its own always, and a gang member that runs longer
- * than a task lease, since it must have been renewed before, so its gang was confirmed.
+ * Whether an owner that did not start the task may renew its lease. A task that is the only member of its gang always
+ * may; a member that has run for longer than a task lease was renewed before, so its gang was confirmed.
  */
 function wasConfirmedBefore(status: port.TaskStatus, leases: LeaseTimes): boolean {
     return taskNote.readNote(status.note).members === 1 || status.ranMs > leases.taskMs;
 }
 
+/** Creates a session without a lease; `run` acquires one. */
 export function createWorkerSession(options: WorkerSessionOptions): WorkerSession {
     const { client, clock: time, leases, log, counters } = options;
     const tasks = new Map<string, SessionTask>();
     const acknowledged = new Set<string>();
     let token: number | undefined;
     let validUntil = -Infinity;
-    let synced = false;
+    let isSynced = false;
     let sequence = -1;
     let incarnation = 0;
-    let heardAt = -Infinity;
+    let lastContactAt = -Infinity;
 
     /**
-     * After a pause of this process the lease may have lapsed and another instance may own the worker. The worker would
-     * refuse the token anyway; looking at the clock before each use saves the call and stops the holder by itself.
+     * After a pause of this process the lease may have expired and another instance may own the worker. The worker
+     * would refuse the token anyway; the check of the clock saves the call and stops the former holder on its own.
      */
     const getToken = () => time.now() < validUntil ? token : undefined;
 
-    const noteLease = (sentAt: number, ttlMs: number) => {
-        // Counted from before the call was sent: the worker counts from its receipt, which is later.
+    const recordLease = (sentAt: number, ttlMs: number) => {
+        // Measured from before the call was sent; the worker measures from its receipt, which is later.
         validUntil = sentAt + ttlMs - leases.marginMs;
-        heardAt = time.now();
+        lastContactAt = time.now();
     };
 
-    const lose = (cause: string) => {
+    const dropLease = (cause: string) => {
         if (token !== undefined) {
-            log.warn("worker lost", { worker: client.id, cause });
+            log.warn("worker lease lost", { worker: client.id, cause });
             counters.increment("workers.leaseLost");
         }
         token = undefined;
         validUntil = -Infinity;
-        synced = false;
+        isSynced = false;
         options.onChange();
     };
 
-    const noteStatus = (status: port.TaskStatus) => {
+    const recordStatus = (status: port.TaskStatus) => {
         const known = tasks.get(status.taskId);
         const confirmed = known?.confirmed || wasConfirmedBefore(status, leases);
         tasks.set(status.taskId, { status, learnedAt: time.now(), confirmed });
     };
 
-    const noteReport = (report: port.SyncReport, sentAt: number) => {
+    const applyReport = (report: port.SyncReport, sentAt: number) => {
         if (report.incarnation !== incarnation && incarnation !== 0) {
             log.warn("worker restarted", { worker: client.id, incarnation: report.incarnation });
             tasks.clear();
         }
         incarnation = report.incarnation;
         sequence = report.sequence;
-        const listed = new Set(report.tasks.map(status => status.taskId));
+        const reportedIds = new Set(report.tasks.map(status => status.taskId));
         for (const [taskId, task] of tasks) {
-            // A report may have been written before a command took effect whose answer is known already.
-            if (!listed.has(taskId) && task.learnedAt < sentAt) {
+            // The report may predate a command whose answer has already been received.
+            if (!reportedIds.has(taskId) && task.learnedAt < sentAt) {
                 tasks.delete(taskId);
             }
         }
         for (const status of report.tasks) {
-            noteStatus(status);
+            recordStatus(status);
         }
-        synced = true;
+        isSynced = true;
         options.onChange();
     };
 
     /**
-     * Half-started gangs die of themselves: a member's lease is renewed only when all members are known to run. Without
-     * this rule a queue owner that dies between two start commands would leave part of a gang running for ever.
+     * Renews a member's lease only when all members of its gang are known to run. If the queue owner crashes between
+     * two start commands, the started members stop when their leases expire; otherwise they would run indefinitely.
      */
     const getRenewable = (): string[] =>
         [...tasks.values()]
@@ -136,13 +147,13 @@
 
     const sync = async (waitMs: number): Promise<boolean> => {
         const sentAt = time.now();
-        const acks = [...acknowledged];
+        const acknowledgedNow = [...acknowledged];
         const answer = await client.sync({
             token: token!,
             ttlMs: leases.controlMs,
             renew: getRenewable(),
             leaseMs: leases.taskMs,
-            acknowledged: acks,
+            acknowledged: acknowledgedNow,
             waitMs,
             sequence,
         });
@@ -151,11 +162,11 @@
                 ? getToken() !== undefined
                 : false;
         }
-        for (const taskId of acks) {
+        for (const taskId of acknowledgedNow) {
             acknowledged.delete(taskId);
         }
-        noteLease(sentAt, leases.controlMs);
-        noteReport(answer.value, sentAt);
+        recordLease(sentAt, leases.controlMs);
+        applyReport(answer.value, sentAt);
         return true;
     };
 
@@ -167,13 +178,13 @@
         }
         token = lease.value.token;
         sequence = -1;
-        noteLease(sentAt, leases.controlMs);
+        recordLease(sentAt, leases.controlMs);
         for (let waitMs = 0; !signal.aborted; waitMs = leases.syncMs) {
-            const heardBefore = heardAt;
+            const previousContactAt = lastContactAt;
             if (!await sync(waitMs)) {
-                return "lease lapsed";
+                return "lease expired";
             }
-            if (heardAt === heardBefore) {
+            if (lastContactAt === previousContactAt) {
                 await time.sleep(options.retry.getDelay(1), signal);
             }
         }
@@ -184,12 +195,12 @@
         workerId: client.id,
         client,
         getToken,
-        isReady: () => synced && getToken() !== undefined,
+        isReady: () => isSynced && getToken() !== undefined,
         getTasks: () => tasks,
-        getSilentMs: () => time.now() - heardAt,
+        getMsSinceContact: () => time.now() - lastContactAt,
         getIncarnation: () => incarnation,
-        noteStatus: status => {
-            noteStatus(status);
+        recordStatus: status => {
+            recordStatus(status);
             options.onChange();
         },
         confirm: taskId => {
@@ -215,12 +226,12 @@
                 if (signal.aborted) {
                     break;
                 }
-                lose(cause);
+                dropLease(cause);
                 attempt = time.now() - startedAt > leases.controlMs ? 1 : attempt;
                 await time.sleep(options.retry.getDelay(attempt), signal);
             }
             const held = getToken();
-            if (held !== undefined && !options.keepsLease()) {
+            if (held !== undefined && !options.shouldKeepLease()) {
                 await client.releaseLease(held);
             }
             token = undefined;
