--- a/src/entry/callersApi.ts
+++ b/src/entry/callersApi.ts
@@ -1,4 +1,4 @@
-/** What callers can do: submit, wait, look, cancel and fetch, each within their own account. */
+/** Operations of callers: submit, wait for, read and cancel jobs and fetch results, limited to their own account. */
 import * as crypto from "node:crypto";
 import type * as platform from "../backing/index";
 import type * as clock from "../clock/index";
@@ -13,36 +13,45 @@
 import type * as rateLimit from "./rateLimit";
 import * as submission from "./submission";
 
-/** What a caller sees of a job. */
+/** State of a job as reported to its caller. */
 export interface JobView {
     readonly requestId: string;
     readonly state: "queued" | "placed" | "done" | "failed" | "notRun";
     readonly class: configuration.JobClass;
     readonly accelerators: number;
+    /** Wall-clock time in milliseconds. */
     readonly acceptedAt: number;
+    /** Wall-clock time in milliseconds; absent until the job has ended. */
     readonly endedAt?: number;
     readonly attempt: number;
+    /** Result code; absent until the job has ended. */
     readonly code?: number;
     readonly message?: string;
     readonly answerLength?: number;
 }
 
+/** Operations of callers; each returns a refusal when it cannot be carried out. */
 export interface CallersApi {
+    /** Runs an interactive request and resolves to its outcome. */
     submitInteractive(
         account: configuration.Account,
         submitted: submission.Submission,
     ): Promise<interactiveRouter.InteractiveOutcome>;
-    /** Accepts a job once its row is written. `waitMs` waits for its end. */
+    /** Accepts a job once its row is written, then waits up to `waitMs` for its end. */
     submitJob(
         account: configuration.Account,
         submitted: submission.Submission,
         waitMs: number,
     ): Promise<result.Result<JobView>>;
+    /** Reads a job; waits up to `waitMs` for its end. */
     getJob(account: configuration.Account, requestId: string, waitMs: number): Promise<result.Result<JobView>>;
+    /** Cancels a job and resolves to its state; a job that has ended stays as it is. */
     cancelJob(account: configuration.Account, requestId: string): Promise<result.Result<JobView>>;
+    /** Fetches the answer of a job that is done, after a check of its digest. */
     getResult(account: configuration.Account, requestId: string): Promise<result.Result<Uint8Array>>;
 }
 
+/** Options of `createCallersApi`. */
 export interface CallersApiOptions {
     readonly clock: clock.Clock;
     readonly log: observe.Log;
@@ -53,42 +62,52 @@
     readonly router: interactiveRouter.InteractiveRouter;
     readonly admission: jobAdmission.JobAdmission;
     readonly rateLimit: rateLimit.RateLimit;
-    /** The part of an account's rate that this instance lets through. */
+    /** Fraction of an account's rate that this instance admits. */
     readonly getRateShare: () => number;
     readonly defaultDeadlineMs: number;
+    /** Whether the instance refuses new requests because it shuts down. */
     readonly isLeaving: () => boolean;
-    /** Sends to the owner of the zone's queue; `undefined` when no answer came. */
+    /** Sends a notice to the owner of the zone's queue; resolves to `undefined` if there was no reply. */
     readonly notifyJob: (notice: peer.JobNotice, timeoutMs: number) => Promise<peer.JobNoticeReply | undefined>;
 }
 
+/** Timeout of a notice, in addition to the time that the notice itself waits. */
 const NOTICE_TIMEOUT_MS = 2000;
 const RETRY_AFTER_MS = 1000;
-/** Longest single wait of an await notice; longer waits are made of several. */
-const AWAIT_SLICE_MS = 5000;
-const AWAIT_RETRY_MS = 200;
-/** How long a cancellation waits for the job's end before it answers with the state so far. */
+/** Maximum wait of one await notice; a longer wait sends several. */
+const MAX_AWAIT_MS = 5000;
+const AWAIT_RETRY_DELAY_MS = 200;
+/** Time that a cancellation waits for the job's end before it returns the current state. */
 const CANCEL_WAIT_MS = 5000;
 
+/** Creates the operations of callers at this instance. */
 export function createCallersApi(options: CallersApiOptions): CallersApi {
     const { clock: time, counters, store } = options;
 
     const checkAdmission = (account: configuration.Account): result.Result<void> => {
         if (options.isLeaving()) {
-            return result.refuse(result.ResultCode.Leaving, "the instance is shutting down; ask another", {
-                retryAfterMs: 100,
-            });
+            return result.refuse(
+                result.ResultCode.Leaving,
+                "the instance is shutting down; send the request to another instance",
+                {
+                    retryAfterMs: 100,
+                },
+            );
         }
         const retryAfterMs = options.rateLimit.take(account, options.getRateShare());
         if (retryAfterMs > 0) {
             counters.increment("entry.rateLimited");
-            return result.refuse(result.ResultCode.RateLimited, `account "${account.name}" exceeds its rate`, {
+            return result.refuse(result.ResultCode.RateLimited, `account "${account.name}" exceeds its rate limit`, {
                 retryAfterMs,
             });
         }
         return result.ok(undefined);
     };
 
-    const readOwn = async (account: configuration.Account, requestId: string): Promise<result.Result<jobs.JobRow>> => {
+    const readJobRow = async (
+        account: configuration.Account,
+        requestId: string,
+    ): Promise<result.Result<jobs.JobRow>> => {
         const found = await store.read(jobs.getJobId(account.name, requestId));
         if (found.kind !== "read") {
             return result.refuse(result.ResultCode.StoreUnavailable, "the table service did not answer", {
@@ -98,28 +117,28 @@
         }
         return found.value
             ? result.ok(found.value.row)
-            : result.refuse(result.ResultCode.NotFound, `no job "${requestId}" of this account`);
+            : result.refuse(result.ResultCode.NotFound, `no job "${requestId}" exists in this account`);
     };
 
-    /** Waits for the job's end at the owner of its queue, whoever that is by then. */
-    const awaitEnd = async (
+    /** Waits for the job's end at the current owner of its queue, which may change during the wait. */
+    const waitForEnd = async (
         account: configuration.Account,
         requestId: string,
         waitMs: number,
     ): Promise<result.Result<JobView>> => {
         const deadline = time.now() + waitMs;
         for (;;) {
-            const row = await readOwn(account, requestId);
-            const left = deadline - time.now();
-            if (!row.ok || row.value.state === "ended" || left <= 0) {
-                return row.ok ? result.ok(toView(row.value)) : row;
+            const row = await readJobRow(account, requestId);
+            const remainingMs = deadline - time.now();
+            if (!row.ok || row.value.state === "ended" || remainingMs <= 0) {
+                return row.ok ? result.ok(toJobView(row.value)) : row;
             }
-            const sliceMs = Math.min(left, AWAIT_SLICE_MS);
+            const awaitMs = Math.min(remainingMs, MAX_AWAIT_MS);
             const { jobId, zone } = row.value;
-            const notice = { jobId, zone, kind: "await", waitMs: sliceMs };
-            const reply = await options.notifyJob(notice, sliceMs + NOTICE_TIMEOUT_MS);
+            const notice = { jobId, zone, kind: "await", waitMs: awaitMs };
+            const reply = await options.notifyJob(notice, awaitMs + NOTICE_TIMEOUT_MS);
             if (reply?.state !== "ended") {
-                await time.sleep(Math.min(AWAIT_RETRY_MS, Math.max(1, left)));
+                await time.sleep(Math.min(AWAIT_RETRY_DELAY_MS, Math.max(1, remainingMs)));
             }
         }
     };
@@ -184,13 +203,13 @@
                     if (written.found?.row.specDigest !== row.specDigest) {
                         return result.refuse(
                             result.ResultCode.ConflictingReuse,
-                            `request id "${requestId}" was used for another job`,
+                            `request id "${requestId}" has already been used for a different job`,
                         );
                     }
                     counters.increment("jobs.repeatedSubmission");
                     return waitMs > 0
-                        ? awaitEnd(account, requestId, waitMs)
-                        : result.ok(toView(written.found.row));
+                        ? waitForEnd(account, requestId, waitMs)
+                        : result.ok(toJobView(written.found.row));
                 case "unavailable":
                     return result.refuse(
                         result.ResultCode.StoreUnavailable,
@@ -206,25 +225,25 @@
             }
             const notice = { jobId: row.jobId, zone: row.zone, kind: "submitted", waitMs: 0 };
             if (waitMs > 0) {
-                return awaitEnd(account, requestId, waitMs);
+                return waitForEnd(account, requestId, waitMs);
             }
-            // The row is what counts: an owner that misses this notice finds the job when it next scans its queue.
+            // The notice only saves time: an owner that misses it finds the row when it next scans its queue.
             options.notifyJob(notice, NOTICE_TIMEOUT_MS).catch((err: unknown) => {
                 options.log.info("noticeNotSent", { job: row.jobId, zone: row.zone, why: String(err) });
             });
-            return result.ok(toView(row));
+            return result.ok(toJobView(row));
         },
         getJob: async (account, requestId, waitMs) => {
             if (waitMs > 0) {
-                return awaitEnd(account, requestId, waitMs);
+                return waitForEnd(account, requestId, waitMs);
             }
-            const row = await readOwn(account, requestId);
-            return row.ok ? result.ok(toView(row.value)) : row;
+            const row = await readJobRow(account, requestId);
+            return row.ok ? result.ok(toJobView(row.value)) : row;
         },
         cancelJob: async (account, requestId) => {
-            const row = await readOwn(account, requestId);
+            const row = await readJobRow(account, requestId);
             if (!row.ok || row.value.state === "ended") {
-                return row.ok ? result.ok(toView(row.value)) : row;
+                return row.ok ? result.ok(toJobView(row.value)) : row;
             }
             const { jobId, zone } = row.value;
             const notice = { jobId, zone, kind: "cancel", waitMs: CANCEL_WAIT_MS };
@@ -232,7 +251,7 @@
             if (!reply?.owner) {
                 return result.refuse(
                     result.ResultCode.OwnerUnavailable,
-                    "nobody owns the job's queue at the moment; cancel again",
+                    "no owner of the job's queue answered; cancel again",
                     {
                         retryAfterMs: RETRY_AFTER_MS,
                         ran: "unknown",
@@ -240,11 +259,11 @@
                 );
             }
             counters.increment("jobs.cancelled");
-            const after = await readOwn(account, requestId);
-            return after.ok ? result.ok(toView(after.value)) : after;
+            const after = await readJobRow(account, requestId);
+            return after.ok ? result.ok(toJobView(after.value)) : after;
         },
         getResult: async (account, requestId) => {
-            const row = await readOwn(account, requestId);
+            const row = await readJobRow(account, requestId);
             if (!row.ok) {
                 return row;
             }
@@ -252,7 +271,7 @@
             if (outcome?.kind !== "done") {
                 return result.refuse(
                     result.ResultCode.NotFound,
-                    `job "${requestId}" has no result: ${toView(row.value).state}`,
+                    `job "${requestId}" has no result: ${toJobView(row.value).state}`,
                 );
             }
             const found = await options.objects.get(workers.getResultKey(jobId, attempt));
@@ -265,12 +284,12 @@
             const isWhole = found.kind === "found" && workers.getBodyDigest(found.body) === outcome.digest;
             return isWhole
                 ? result.ok(found.body)
-                : result.refuse(result.ResultCode.AnswerInvalid, "the stored result is missing or not whole");
+                : result.refuse(result.ResultCode.AnswerInvalid, "the stored result is missing or incomplete");
         },
     };
 }
 
-function toView(row: jobs.JobRow): JobView {
+function toJobView(row: jobs.JobRow): JobView {
     const { outcome } = row;
     const base = {
         requestId: row.requestId,
--- a/src/entry/callersHttp.ts
+++ b/src/entry/callersHttp.ts
@@ -1,4 +1,4 @@
-/** The callers' HTTP API. docs/OPERATING.md shows its use. */
+/** HTTP API of callers; docs/OPERATING.md shows its use. */
 import * as broker from "../broker/index";
 import type * as configuration from "../configuration/index";
 import * as result from "../result/index";
@@ -8,18 +8,20 @@
 
 interface CallersHttpOptions {
     readonly api: callersApi.CallersApi;
-    /** The account that the key belongs to; `undefined` for a key that is unknown or has expired. */
+    /** Finds the account of a key; `undefined` if the key is unknown or expired. */
     readonly authenticate: (key: string) => configuration.Account | undefined;
     readonly activity: Activity;
 }
 
-/** Counts the calls under way, so that a shutdown can wait for them. */
+/** Counts the calls in progress, so that a shutdown can wait for them. */
 export interface Activity {
-    /** Counts one in. Returns the undo. */
+    /** Registers a call; the returned function unregisters it. */
     enter(): () => void;
+    /** Whether no call is in progress. */
     isIdle(): boolean;
 }
 
+/** Creates a counter at zero. */
 export function createActivity(): Activity {
     let count = 0;
     return {
@@ -33,8 +35,10 @@
     };
 }
 
+/** Maximum `waitMs` of a call. */
 const MAX_WAIT_MS = 120_000;
 
+/** Creates the HTTP routes of callers. */
 export function createCallersHttp(options: CallersHttpOptions): broker.HttpRoute[] {
     const { api } = options;
 
@@ -47,7 +51,7 @@
             const message = "the key is missing, unknown or expired";
             return broker.refusalAnswer(result.createRefusal(result.ResultCode.Unauthorized, message));
         }
-        const leave = options.activity.enter();
+        const exit = options.activity.enter();
         try {
             return await handle(account, call);
         }
@@ -55,7 +59,7 @@
             return broker.refusalAnswer(result.refusalFromUnknown(err));
         }
         finally {
-            leave();
+            exit();
         }
     };
 
@@ -67,7 +71,7 @@
         if (submitted.value.class === "interactive") {
             return toInteractiveAnswer(await api.submitInteractive(account, submitted.value));
         }
-        return toJobAnswer(await api.submitJob(account, submitted.value, readWait(call)), 202);
+        return toJobAnswer(await api.submitJob(account, submitted.value, readWaitMs(call)), 202);
     };
 
     return [
@@ -76,7 +80,7 @@
             alias: "GET /v1/jobs/:requestId",
             action: "get",
             handle: withAccount(async (account, call) =>
-                toJobAnswer(await api.getJob(account, call.path["requestId"]!, readWait(call)), 200)
+                toJobAnswer(await api.getJob(account, call.path["requestId"]!, readWaitMs(call)), 200)
             ),
         },
         {
@@ -97,13 +101,13 @@
     ];
 }
 
-/** The `waitMs` of the query, bounded; 0 without one. */
-function readWait(call: broker.HttpCall): number {
+/** Reads `waitMs` from the query, clamped to 0 and `MAX_WAIT_MS`; 0 if it is absent or not a number. */
+function readWaitMs(call: broker.HttpCall): number {
     const waitMs = Number(call.query["waitMs"] ?? 0);
     return Number.isFinite(waitMs) ? Math.min(MAX_WAIT_MS, Math.max(0, waitMs)) : 0;
 }
 
-/** Header that says which request an answer belongs to. */
+/** Response header with the id of the request. */
 const REQUEST_ID_HEADER = "x-request-id";
 
 function toInteractiveAnswer(outcome: interactiveRouter.InteractiveOutcome): broker.HttpAnswer {
--- a/src/entry/homes.ts
+++ b/src/entry/homes.ts
@@ -1,32 +1,34 @@
-/** The home of a request id: the one worker that remembers whether it ran. */
+/** The home of a request id: the one worker that records whether the request ran. */
 import * as crypto from "node:crypto";
 import type * as configuration from "../configuration/index";
 import * as ownership from "../ownership/index";
 
+/** The home worker of a request id, with its rack and zone. */
 export interface Home {
     readonly workerId: string;
     readonly rackId: string;
     readonly zone: string;
 }
 
+/** Maps request ids to their homes. */
 export interface Homes {
-    /** The same at every instance with the same topology. */
+    /** Home of the id, equal on all instances with the same topology; `undefined` while no topology is known. */
     getHome(requestId: string): Home | undefined;
-    /** A new id whose home lies in the zone. */
+    /** Creates a unique id whose home is in the zone. */
     createRequestId(zone: string): string;
 }
 
-/** Separates the zone that an id names from the rest of it. */
+/** Separates the zone prefix of a request id from the rest. */
 const ZONE_SEPARATOR = "~";
 
 /**
- * An id may name its zone (`surrey-b~…`); a zone that is cut off can then still serve its callers' ids, since their homes
- * lie inside. Other ids are spread over the zones by hashing.
+ * Creates the mapping of request ids to homes. An id may start with a zone (`surrey-b~…`). Its home is then in that
+ * zone, which can serve it even while it is partitioned from the others. Other ids are hashed to a zone.
  */
 export function createHomes(getTopology: () => configuration.Topology | undefined): Homes {
     let indexed: { readonly topology: configuration.Topology; readonly byZone: Map<string, Home[]>; } | undefined;
 
-    const getIndex = () => {
+    const getHomeIndex = () => {
         const topology = getTopology();
         if (topology && indexed?.topology !== topology) {
             const byZone = new Map<string, Home[]>();
@@ -41,14 +43,14 @@
 
     return {
         getHome: requestId => {
-            const index = getIndex();
+            const index = getHomeIndex();
             if (!index) {
                 return undefined;
             }
             const zones = [...index.byZone.keys()].sort();
-            const named = requestId.split(ZONE_SEPARATOR, 1)[0]!;
+            const zonePrefix = requestId.split(ZONE_SEPARATOR, 1)[0]!;
             const hash = crypto.createHash("md5").update(requestId).digest("hex");
-            const zone = index.byZone.has(named) ? named : ownership.pickByRendezvous(hash, zones)!;
+            const zone = index.byZone.has(zonePrefix) ? zonePrefix : ownership.pickByRendezvous(hash, zones)!;
             const homes = index.byZone.get(zone)!;
             const workerId = ownership.pickByRendezvous(hash, homes.map(home => home.workerId));
             return homes.find(home => home.workerId === workerId);
--- a/src/entry/index.ts
+++ b/src/entry/index.ts
@@ -1,4 +1,4 @@
-/** Entry: callers' requests, from the HTTP API to the owner of a rack or queue and back. */
+/** Entry of callers' requests: the HTTP API, admission, and routing to the owners of racks and queues. */
 export { type CallersApi, type CallersApiOptions, createCallersApi, type JobView } from "./callersApi";
 export { type Activity, createActivity, createCallersHttp } from "./callersHttp";
 export { createHomes, type Homes } from "./homes";
--- a/src/entry/interactiveRouter.ts
+++ b/src/entry/interactiveRouter.ts
@@ -1,4 +1,4 @@
-/** Sends an interactive request to the owner of a rack, and tries others while that is safe. */
+/** Sends interactive requests to the owners of racks and retries them on other racks while that is safe. */
 import * as crypto from "node:crypto";
 import type * as clock from "../clock/index";
 import type * as configuration from "../configuration/index";
@@ -10,8 +10,9 @@
 import type * as homesModule from "./homes";
 import type * as submission from "./submission";
 
+/** Router of interactive requests. */
 export interface InteractiveRouter {
-    /** Runs the request to a truthful outcome before its deadline. */
+    /** Runs the request until its deadline; a refusal never claims that work did not run if it may have run. */
     run(
         account: configuration.Account,
         submitted: submission.Submission,
@@ -19,11 +20,13 @@
     ): Promise<InteractiveOutcome>;
 }
 
+/** Outcome of an interactive request: an answer, a failure of its work, or a refusal. */
 export type InteractiveOutcome =
     | { readonly kind: "done"; readonly requestId: string; readonly body: Uint8Array; }
     | { readonly kind: "failed"; readonly requestId: string; readonly message: string; }
     | { readonly kind: "refused"; readonly requestId: string; readonly refusal: result.Refusal; };
 
+/** Options of `createInteractiveRouter`. */
 export interface InteractiveRouterOptions {
     readonly zone: string;
     readonly clock: clock.Clock;
@@ -31,27 +34,28 @@
     readonly counters: observe.Counters;
     readonly homes: homesModule.Homes;
     readonly getTopology: () => configuration.Topology | undefined;
+    /** Whether this instance owns the rack. */
     readonly isOwnRack: (rackId: string) => boolean;
-    /** What the rack's owner last said of its load; `undefined` when nothing was heard. */
+    /** Load last reported by the rack's owner; `undefined` if there is no report. */
     readonly getRackLoad: (rackId: string) => peer.RackLoad | undefined;
-    /** Sends to the instance that owns the rack; `undefined` when no answer came. */
+    /** Sends the request to the instance that owns the rack; resolves to `undefined` if there was no reply. */
     readonly send: (rackId: string, req: peer.RunRequest, timeoutMs: number) => Promise<peer.RunReply | undefined>;
-    /** Claims a request id in the table service, for accounts that chose this. True: nobody claimed it before. */
+    /** Claims a request id in the table service, for accounts configured so; true if it was not claimed before. */
     readonly claimRow: (account: string, requestId: string) => Promise<result.Result<boolean>>;
 }
 
-const NEEDS_SLOTS = 1;
-/** Free slots from which an own rack is taken without a look at others. */
-const ENOUGH_ROOM = 3;
-/** Ids drawn in search of one whose home lies in an own rack. */
-const MAX_DRAWS = 8;
-const RETRY_PAUSE_MS = 50;
-/** Racks tried for one repeatable request. */
+const SLOTS_PER_REQUEST = 1;
+/** Minimum number of free slots at which a rack of this instance is preferred to all others. */
+const MIN_FREE_SLOTS = 3;
+/** Maximum number of ids drawn to find one whose home is in a rack of this instance. */
+const MAX_ID_DRAWS = 8;
+const RETRY_DELAY_MS = 50;
+/** Maximum number of racks that a repeatable request is sent to. */
 const MAX_RACKS = 4;
-/** Fresh ids tried for one request that may run only once, when homes are out of reach. */
-const MAX_FRESH_IDS = 4;
-/** Codes after which another rack may be tried: the work certainly did not run. */
-const TRY_ELSEWHERE: readonly number[] = [
+/** Maximum number of new ids triedRacks for a request that may run at most once, while the homes are unavailable. */
+const MAX_REQUEST_IDS = 4;
+/** Codes after which the request may be sent to another rack, because the work did not run. */
+const RETRYABLE_CODES: readonly number[] = [
     result.ResultCode.NotOwner,
     result.ResultCode.NoCapacity,
     result.ResultCode.QueueFull,
@@ -59,6 +63,7 @@
     result.ResultCode.Leaving,
 ];
 
+/** Creates the router of this instance. */
 export function createInteractiveRouter(options: InteractiveRouterOptions): InteractiveRouter {
     const { clock: time, counters, rng } = options;
 
@@ -73,7 +78,7 @@
         account: account.name,
         needs: {
             accelerators: 0,
-            slots: NEEDS_SLOTS,
+            slots: SLOTS_PER_REQUEST,
             cpus: submitted.cpusPerAccelerator,
             memoryMb: Math.ceil(submitted.memoryMbPerAccelerator),
         },
@@ -84,43 +89,44 @@
         fresh: submitted.requestId === undefined,
     });
 
-    const getRoom = (rackId: string): number => {
+    /** Free slots less waiting requests; 0 if the rack's load is unknown. */
+    const getFreeSlots = (rackId: string): number => {
         const load = options.getRackLoad(rackId);
         return load ? load.freeSlots - load.waiting : 0;
     };
 
     /**
-     * An own rack while it has room, which saves a hop; else the better of two random racks (Mitzenmacher 2001) of the
-     * own zone; else of other zones.
+     * Prefers racks of this instance with enough free slots, which saves a network hop. Otherwise picks the less loaded
+     * of two random racks (power of two choices, Mitzenmacher 2001) in this zone, or in others if it has no free slot.
      */
     const pickRack = (excluded: ReadonlySet<string>): string | undefined => {
         const racks = (options.getTopology()?.racks ?? []).filter(rack => !excluded.has(rack.id));
-        const own = racks.filter(rack => options.isOwnRack(rack.id) && getRoom(rack.id) >= ENOUGH_ROOM);
-        if (own.length > 0) {
-            return rng.pick(own).id;
+        const ownRacks = racks.filter(rack => options.isOwnRack(rack.id) && getFreeSlots(rack.id) >= MIN_FREE_SLOTS);
+        if (ownRacks.length > 0) {
+            return rng.pick(ownRacks).id;
         }
-        const near = racks.filter(rack => rack.zone === options.zone);
-        const hasRoom = near.some(rack => getRoom(rack.id) > 0);
-        const far = racks.filter(rack => rack.zone !== options.zone && getRoom(rack.id) > 0);
-        const candidates = hasRoom || far.length === 0 ? near : far;
+        const inOwnZone = racks.filter(rack => rack.zone === options.zone);
+        const hasFreeSlots = inOwnZone.some(rack => getFreeSlots(rack.id) > 0);
+        const inOtherZones = racks.filter(rack => rack.zone !== options.zone && getFreeSlots(rack.id) > 0);
+        const candidates = hasFreeSlots || inOtherZones.length === 0 ? inOwnZone : inOtherZones;
         if (candidates.length === 0) {
             return undefined;
         }
         const first = rng.pick(candidates).id;
         const second = rng.pick(candidates).id;
-        return getRoom(second) > getRoom(first) ? second : first;
+        return getFreeSlots(second) > getFreeSlots(first) ? second : first;
     };
 
     const runRepeatable = async (req: peer.RunRequest, deadline: number): Promise<InteractiveOutcome> => {
-        const tried = new Set<string>();
-        let last = refused(req.requestId, result.ResultCode.OwnerUnavailable, "no rack could be reached");
+        const triedRacks = new Set<string>();
+        let last = refused(req.requestId, result.ResultCode.OwnerUnavailable, "no rack is reachable");
         let mayHaveRun = false;
-        while (tried.size < MAX_RACKS && time.now() < deadline) {
-            const rackId = pickRack(tried);
+        while (triedRacks.size < MAX_RACKS && time.now() < deadline) {
+            const rackId = pickRack(triedRacks);
             if (rackId === undefined) {
                 break;
             }
-            tried.add(rackId);
+            triedRacks.add(rackId);
             const timeoutMs = deadline - time.now();
             const reply = await options.send(rackId, { ...req, rackId, deadlineInMs: timeoutMs }, timeoutMs);
             if (!reply) {
@@ -131,16 +137,16 @@
             }
             last = readReply(reply, req.requestId);
             mayHaveRun = mayHaveRun || (last.kind === "refused" && last.refusal.ran !== "no");
-            if (last.kind !== "refused" || !TRY_ELSEWHERE.includes(last.refusal.code)) {
+            if (last.kind !== "refused" || !RETRYABLE_CODES.includes(last.refusal.code)) {
                 break;
             }
         }
-        return mayHaveRun ? withDoubt(last) : last;
+        return mayHaveRun ? withUnknownRan(last) : last;
     };
 
     /**
-     * Sends the same request to the owner of its home's rack until there is an outcome. Repeating is safe: the home runs
-     * the id at most once and gives every submission the same outcome.
+     * Sends the request to the owner of its home's rack until there is an outcome. Repeating it is safe, because the
+     * home runs the id at most once and returns the same outcome for every submission.
      */
     const runOnce = async (req: peer.RunRequest, deadline: number): Promise<InteractiveOutcome> => {
         const home = options.homes.getHome(req.requestId);
@@ -155,22 +161,30 @@
             const outcome = reply && readReply(reply, req.requestId);
             const isNotOwner = outcome?.kind === "refused" && outcome.refusal.code === result.ResultCode.NotOwner;
             if (outcome && !isNotOwner) {
-                return sent ? withDoubt(outcome) : outcome;
+                return sent ? withUnknownRan(outcome) : outcome;
             }
             sent = sent || !reply;
             counters.increment("entry.homeRetried");
-            await time.sleep(RETRY_PAUSE_MS);
+            await time.sleep(RETRY_DELAY_MS);
         }
         return sent
-            ? refused(req.requestId, result.ResultCode.Unresolved, "the home of this request id did not answer")
-            : refused(req.requestId, result.ResultCode.HomeUnavailable, "nobody owns the home of this request id");
+            ? refused(
+                req.requestId,
+                result.ResultCode.Unresolved,
+                "the owner of this request id's home worker did not answer",
+            )
+            : refused(
+                req.requestId,
+                result.ResultCode.HomeUnavailable,
+                "no instance owns the home worker of this request id",
+            );
     };
 
     const runFreshOnce = async (req: peer.RunRequest, deadline: number): Promise<InteractiveOutcome> => {
         let outcome = await runOnce(req, deadline);
-        for (let attempt = 1; attempt < MAX_FRESH_IDS && isHomeUnavailable(outcome); attempt++) {
-            // The refusal proves that the id never ran, and nobody else knows it: another id may take its place.
-            const requestId = createId(false);
+        for (let attempt = 1; attempt < MAX_REQUEST_IDS && isHomeUnavailable(outcome); attempt++) {
+            // The refusal proves that the id never ran, and no caller knows the id, so another one may replace it.
+            const requestId = createRequestId(false);
             outcome = await runOnce({ ...req, requestId }, deadline);
         }
         return outcome;
@@ -179,7 +193,7 @@
     return {
         run: async (account, submitted, defaultDeadlineMs) => {
             const deadline = time.now() + (submitted.deadlineMs ?? defaultDeadlineMs);
-            const requestId = submitted.requestId ?? createId(submitted.repeatable);
+            const requestId = submitted.requestId ?? createRequestId(submitted.repeatable);
             const req = createRequest(account, submitted, requestId, deadline);
             if (submitted.repeatable) {
                 return runRepeatable(req, deadline);
@@ -197,23 +211,23 @@
         },
     };
 
-    function createId(repeatable: boolean): string {
+    function createRequestId(repeatable: boolean): string {
         if (repeatable) {
             return crypto.randomUUID();
         }
         let requestId = options.homes.createRequestId(options.zone);
-        for (let draw = 1; draw < MAX_DRAWS && !isHomeOwn(requestId); draw++) {
+        for (let draw = 1; draw < MAX_ID_DRAWS && !isHomeInOwnRack(requestId); draw++) {
             requestId = options.homes.createRequestId(options.zone);
         }
         return requestId;
     }
 
-    function isHomeOwn(requestId: string): boolean {
+    function isHomeInOwnRack(requestId: string): boolean {
         const home = options.homes.getHome(requestId);
-        return !!home && options.isOwnRack(home.rackId) && getRoom(home.rackId) >= ENOUGH_ROOM;
+        return !!home && options.isOwnRack(home.rackId) && getFreeSlots(home.rackId) >= MIN_FREE_SLOTS;
     }
 
-    /** An answer that belongs to another request, or is not whole, never reaches the caller. */
+    /** Converts a reply; an answer that is incomplete or belongs to another request becomes a refusal. */
     function readReply(reply: peer.RunReply, requestId: string): InteractiveOutcome {
         if (reply.requestId !== requestId) {
             counters.increment("answers.crossed");
@@ -224,7 +238,7 @@
                 const { body, digest } = reply.outcome.value;
                 if (workers.getBodyDigest(body) !== digest) {
                     counters.increment("answers.truncated");
-                    return refused(requestId, result.ResultCode.AnswerInvalid, "the answer was not whole");
+                    return refused(requestId, result.ResultCode.AnswerInvalid, "the answer was truncated");
                 }
                 return { kind: "done", requestId, body };
             }
@@ -249,10 +263,10 @@
 }
 
 /**
- * The refusal of a later try says only that this try did not run. After a try whose answer was lost, passing it on as it
- * is would call work "not run" that may have run; one would see it in the workers' records alone.
+ * Marks a refusal as one after which the work may have run. The refusal of a later attempt covers only that attempt; if
+ * the answer of an earlier one was lost, "not run" could be wrong, which only the workers' records would show.
  */
-function withDoubt(outcome: InteractiveOutcome): InteractiveOutcome {
+function withUnknownRan(outcome: InteractiveOutcome): InteractiveOutcome {
     return outcome.kind === "refused" && outcome.refusal.ran === "no"
         ? { ...outcome, refusal: { ...outcome.refusal, ran: "unknown" } }
         : outcome;
--- a/src/entry/jobAdmission.ts
+++ b/src/entry/jobAdmission.ts
@@ -1,4 +1,4 @@
-/** Whether a job is taken, and into which zone's queue. */
+/** Admission of jobs and the choice of the zone whose queue takes them. */
 import type * as configuration from "../configuration/index";
 import type * as jobs from "../jobs/index";
 import type * as peer from "../peer/index";
@@ -6,33 +6,36 @@
 import * as queue from "../queue/index";
 import * as result from "../result/index";
 
+/** Admission of jobs at this instance. */
 export interface JobAdmission {
-    /** `deadlineMs`: time until the job must have started. */
+    /** Chooses the zone of a job or refuses it; the job must start within `deadlineMs` milliseconds, if given. */
     chooseZone(
         account: configuration.Account,
         spec: jobs.JobSpec,
         deadlineMs: number | undefined,
     ): result.Result<string>;
-    /** A zone other than `from` that has room for the job now. */
+    /** Finds a zone other than `from` with enough free accelerators for the job. */
     findZoneWithRoom(
         job: { readonly account: string; readonly accelerators: number; },
         from: string,
     ): string | undefined;
 }
 
+/** Options of `createJobAdmission`. */
 export interface JobAdmissionOptions {
     readonly ownZone: string;
     readonly getConfiguration: () => configuration.Configuration | undefined;
-    /** What the owners of the zones' queues last said; a zone that was not heard of is missing. */
+    /** Loads last reported by the owners of the zones' queues; zones without a report are missing. */
     readonly getZoneLoads: () => readonly peer.ZoneLoad[];
 }
 
 const RETRY_AFTER_MS = 2000;
-/** A deadline is refused early only when the expected wait exceeds it by this factor, since the expectation is rough. */
-const DEADLINE_FACTOR = 2;
+/** A job is refused when the expected wait, a rough estimate, exceeds its deadline by more than this factor. */
+const MAX_WAIT_TO_DEADLINE_RATIO = 2;
 
+/** Creates the admission of this instance. */
 export function createJobAdmission(options: JobAdmissionOptions): JobAdmission {
-    /** Zones that could ever hold a job of this shape, by shape; computed anew for each configuration. */
+    /** Zones that can hold a job when they are idle, by the job's shape; computed again for each configuration. */
     let fits: { readonly of: configuration.Configuration; readonly zones: Map<string, readonly string[]>; } | undefined;
 
     const getFittingZones = (current: configuration.Configuration, spec: jobs.JobSpec): readonly string[] => {
@@ -40,9 +43,9 @@
             fits = { of: current, zones: new Map() };
         }
         const key = [spec.accelerators, spec.adjacency, spec.cpusPerAccelerator, spec.memoryMbPerAccelerator].join("|");
-        const known = fits.zones.get(key);
-        if (known) {
-            return known;
+        const cached = fits.zones.get(key);
+        if (cached) {
+            return cached;
         }
         const req: placement.PlaceRequest = {
             jobId: "",
@@ -76,9 +79,13 @@
         }
         const waiting = loads.reduce((sum, load) => sum + (load.waiting[`${account.name}/${spec.jobClass}`] ?? 0), 0);
         return waiting >= limits.jobQueue
-            ? result.refuse(result.ResultCode.QueueFull, `${waiting} jobs of class ${spec.jobClass} wait already`, {
-                retryAfterMs: RETRY_AFTER_MS,
-            })
+            ? result.refuse(
+                result.ResultCode.QueueFull,
+                `${waiting} jobs of class ${spec.jobClass} are already waiting`,
+                {
+                    retryAfterMs: RETRY_AFTER_MS,
+                },
+            )
             : result.ok(undefined);
     };
 
@@ -91,15 +98,19 @@
         chooseZone: (account, spec, deadlineMs) => {
             const current = options.getConfiguration();
             if (!current) {
-                return result.refuse(result.ResultCode.StoreUnavailable, "the configuration is not known yet", {
-                    retryAfterMs: RETRY_AFTER_MS,
-                });
+                return result.refuse(
+                    result.ResultCode.StoreUnavailable,
+                    "the instance has not read the configuration yet",
+                    {
+                        retryAfterMs: RETRY_AFTER_MS,
+                    },
+                );
             }
             const zones = getFittingZones(current, spec);
             if (zones.length === 0) {
                 return result.refuse(
                     result.ResultCode.CanNeverRun,
-                    `no zone can ever hold ${spec.accelerators} accelerators (adjacency ${spec.adjacency}, `
+                    `no zone can hold ${spec.accelerators} accelerators (adjacency ${spec.adjacency}, `
                         + `${spec.cpusPerAccelerator} cpus and ${spec.memoryMbPerAccelerator} MB each)`,
                 );
             }
@@ -111,47 +122,47 @@
             if (loads.length === 0) {
                 return result.ok(zones.includes(options.ownZone) ? options.ownZone : zones[0]!);
             }
-            const shortest = Math.min(...loads.map(load => getExpectedWaitMs(current, load)));
-            if (deadlineMs !== undefined && shortest > deadlineMs * DEADLINE_FACTOR) {
+            const minWaitMs = Math.min(...loads.map(load => getExpectedWaitMs(current, load)));
+            if (deadlineMs !== undefined && minWaitMs > deadlineMs * MAX_WAIT_TO_DEADLINE_RATIO) {
                 return result.refuse(
                     result.ResultCode.DeadlineTooSoon,
-                    `the expected wait of ${Math.round(shortest)} ms exceeds the deadline`,
-                    { retryAfterMs: Math.round(shortest) },
+                    `the expected wait of ${Math.round(minWaitMs)} ms exceeds the deadline`,
+                    { retryAfterMs: Math.round(minWaitMs) },
                 );
             }
-            return result.ok(pickBest(loads, account.name, spec.accelerators, options.ownZone));
+            return result.ok(pickZone(loads, account.name, spec.accelerators, options.ownZone));
         },
         findZoneWithRoom: (job, from) =>
             options.getZoneLoads().find(load =>
-                load.zone !== from && getRoom(load, job.account, job.accelerators) > Room.None
+                load.zone !== from && getFit(load, job.account, job.accelerators) > Fit.None
             )?.zone,
     };
 }
 
-/** How well a job would start in a zone now; higher is better. */
-const Room = { None: 0, Guarantee: 1, Block: 2, Hole: 3 } as const;
+/** How well a zone's free accelerators fit a job; higher is better. */
+const Fit = { None: 0, Guarantee: 1, Block: 2, Hole: 3 } as const;
 
 /**
- * A hole beside other work comes first: it breaks no whole worker, in whatever zone it is. A block that is free after the
- * zone's own jobs had their turn is free for others, too. A guarantee comes last, since it may have to be reclaimed.
+ * Prefers free accelerators beside other work, in any zone, since they leave entirely free workers intact. Next comes a
+ * free block, which the jobs waiting in its zone have not used. A guarantee comes last: it may have to be reclaimed.
  */
-function getRoom(load: peer.ZoneLoad, account: string, accelerators: number): number {
+function getFit(load: peer.ZoneLoad, account: string, accelerators: number): number {
     if (load.largestHole >= accelerators) {
-        return Room.Hole;
+        return Fit.Hole;
     }
     if (load.largestFreeBlock >= accelerators) {
-        return Room.Block;
+        return Fit.Block;
     }
-    return (load.freeGuaranteed[account] ?? 0) >= accelerators ? Room.Guarantee : Room.None;
+    return (load.freeGuaranteed[account] ?? 0) >= accelerators ? Fit.Guarantee : Fit.None;
 }
 
-/** Where the job would start at once and best, else where the least work waits. */
-function pickBest(loads: readonly peer.ZoneLoad[], account: string, accelerators: number, ownZone: string): string {
+/** Picks the zone with the best fit; among equal ones, that with the least waiting work. */
+function pickZone(loads: readonly peer.ZoneLoad[], account: string, accelerators: number, ownZone: string): string {
     const ranked = loads
-        .map(load => ({ load, room: getRoom(load, account, accelerators) }))
+        .map(load => ({ load, fit: getFit(load, account, accelerators) }))
         .sort((a, b) =>
-            b.room - a.room
-            || (a.room === Room.Hole ? a.load.largestHole - b.load.largestHole : 0)
+            b.fit - a.fit
+            || (a.fit === Fit.Hole ? a.load.largestHole - b.load.largestHole : 0)
             || a.load.waitingWorkMs - b.load.waitingWorkMs
             || b.load.freeAccelerators - a.load.freeAccelerators
             || Number(b.load.zone === ownZone) - Number(a.load.zone === ownZone)
--- a/src/entry/keyrings.ts
+++ b/src/entry/keyrings.ts
@@ -1,13 +1,15 @@
-/** The keys of the configuration in force, indexed once for each revision. */
+/** Keys of the current configuration, indexed once per revision. */
 import * as configuration from "../configuration/index";
 
 type Operator = configuration.Contracts["operators"][number];
 
+/** Lookup of keys; `wallTime` is in milliseconds, and expired keys are not found. */
 export interface Keyrings {
     findAccount(key: string, wallTime: number): configuration.Account | undefined;
     findOperator(key: string, wallTime: number): Operator | undefined;
 }
 
+/** Creates the lookup; no key is found while there is no configuration. */
 export function createKeyrings(getContracts: () => configuration.Contracts | undefined): Keyrings {
     let indexed: configuration.Contracts | undefined;
     let accounts: configuration.Keyring<configuration.Account> | undefined;
--- a/src/entry/rowClaims.ts
+++ b/src/entry/rowClaims.ts
@@ -1,9 +1,9 @@
-/** Claims of request ids by rows in the table service, for accounts that chose them over the home alone. */
+/** Claims of request ids by rows in the table service, for accounts that do not rely on the home worker alone. */
 import * as platform from "../backing/index";
 import * as result from "../result/index";
 import * as workers from "../workers/index";
 
-/** Resolves to whether the id was claimed now, or refuses when the table service cannot say. */
+/** Creates a function that claims a request id: true if it is new, a refusal if the table service is down. */
 export function createRowClaims(
     table: platform.GuardedTable,
 ): (account: string, requestId: string) => Promise<result.Result<boolean>> {
@@ -19,13 +19,13 @@
                 return result.refuse(
                     result.ResultCode.StoreUnavailable,
                     "the request id cannot be claimed while the table service is down",
-                    RETRY,
+                    RETRY_OPTIONS,
                 );
             case "unknown":
-                // The row may be there now. Taking the id for used only costs the answer when its home has forgotten it.
+                // The row may exist. Treating the id as used is safe; the request only fails if its home restarted.
                 return result.ok(false);
         }
     };
 }
 
-const RETRY = { retryAfterMs: 1000 };
+const RETRY_OPTIONS = { retryAfterMs: 1000 };
--- a/src/workers/workerPort.ts
+++ b/src/workers/workerPort.ts
@@ -149,7 +149,7 @@
     create(token: number, order: TaskOrder): Promise<WorkerResult<TaskStatus>>;
     /** Starts a prepared task. */
     start(token: number, taskId: string): Promise<WorkerResult<TaskStatus>>;
-    /** Stops a task or prevents an unknown one from starting; its status shows which. Only new tombstones keep `note`. */
+    /** Stops a task or prevents an unknown one from starting, as its status shows. Only new tombstones keep `note`. */
     stop(token: number, taskId: string, mode: StopMode, note: string): Promise<WorkerResult<TaskStatus>>;
     /** Outcome of an ended task; `notEnded` while it holds resources, `unknownTask` if it never started here. */
     getOutcome(taskId: string): Promise<WorkerResult<RunOutcome>>;
