--- a/src/instance/heartbeats.ts
+++ b/src/instance/heartbeats.ts
@@ -1,10 +1,11 @@
-/** Heartbeats with peers: one loop for each peer, and one that keeps the loops in step with the membership. */
+/** Heartbeats with peers: one loop per peer, and one loop that starts and stops these as the membership changes. */
 import type * as clock from "../clock/index";
 import type * as configuration from "../configuration/index";
 import type * as membership from "../membership/index";
 import type * as ownership from "../ownership/index";
 import type * as peer from "../peer/index";
 
+/** Options of the heartbeat loops. */
 export interface HeartbeatOptions {
     readonly self: membership.Peer;
     readonly clock: clock.Clock;
@@ -13,14 +14,15 @@
     readonly reader: configuration.ConfigurationReader;
     readonly intervalMs: number;
     readonly createHeartbeat: () => peer.HeartbeatMessage;
-    /** Called after each round of any peer. */
+    /** Called after each heartbeat to a peer, whether it was answered or not. */
     readonly onChange: () => void;
 }
 
-/** Instances of each other zone that are sent heartbeats; the own zone's all are. */
-const LINKS_A_ZONE = 2;
-const ADJUST_MS = 500;
+/** Number of instances of each other zone that are sent heartbeats; in its own zone an instance sends them to all. */
+const PEERS_PER_OTHER_ZONE = 2;
+const ADJUST_INTERVAL_MS = 500;
 
+/** Keeps one loop per chosen peer until the signal is aborted; waits for all loops to end. */
 export async function runHeartbeats(
     options: HeartbeatOptions,
     holdings: ownership.Holdings<string>,
@@ -28,34 +30,38 @@
 ): Promise<void> {
     while (!signal.aborted) {
         holdings.adjust(new Set(choosePeers(options)));
-        options.connections.retain(new Set(options.view.getPeers().map(item => item.peerAddress)));
-        await options.clock.sleep(ADJUST_MS, signal);
+        options.connections.retain(new Set(options.view.getPeers().map(member => member.peerAddress)));
+        await options.clock.sleep(ADJUST_INTERVAL_MS, signal);
     }
     await holdings.close();
 }
 
-/** All peers of the own zone, and a few of each other zone. */
+/** Chooses all peers of this instance's zone and `PEERS_PER_OTHER_ZONE` of each other zone. */
 function choosePeers(options: HeartbeatOptions): string[] {
     const byZone = new Map<string, membership.Peer[]>();
-    for (const item of options.view.getPeers()) {
-        byZone.set(item.zone, [...byZone.get(item.zone) ?? [], item]);
+    for (const member of options.view.getPeers()) {
+        byZone.set(member.zone, [...byZone.get(member.zone) ?? [], member]);
     }
     return [...byZone].flatMap(([zone, peers]) => {
-        const ids = peers.map(item => item.id);
-        return zone === options.self.zone ? ids : chooseLinks(options.self.id, ids);
+        const ids = peers.map(member => member.id);
+        return zone === options.self.zone ? ids : choosePeersOfOtherZone(options.self.id, ids);
     });
 }
 
-/** Neighbours on a ring by name, so that every instance is heard by some and no instance by all. */
-function chooseLinks(selfId: string, ids: readonly string[]): string[] {
+/** Chooses the neighbours on a ring sorted by id, so that some instances, but not all, send heartbeats to each one. */
+function choosePeersOfOtherZone(selfId: string, ids: readonly string[]): string[] {
     const sorted = [...ids].sort();
     const start = Math.max(0, sorted.findIndex(id => id > selfId));
-    const count = Math.min(LINKS_A_ZONE, sorted.length);
+    const count = Math.min(PEERS_PER_OTHER_ZONE, sorted.length);
     return Array.from({ length: count }, (_, offset) => sorted[(start + offset) % sorted.length]!);
 }
 
-/** The loop with one peer. */
-export async function beat(options: HeartbeatOptions, peerId: string, signal: AbortSignal): Promise<void> {
+/** Exchanges heartbeats with one peer until the signal is aborted. */
+export async function exchangeHeartbeats(
+    options: HeartbeatOptions,
+    peerId: string,
+    signal: AbortSignal,
+): Promise<void> {
     const { view, clock: time, reader } = options;
     while (!signal.aborted) {
         const member = view.getPeer(peerId);
@@ -64,7 +70,7 @@
             const reply = await calls.heartbeat(options.createHeartbeat(), options.intervalMs * 2);
             if (reply) {
                 view.noteHeartbeat(reply, member.peerAddress);
-                reader.hint(reply.newestRevision, createSource(calls, options.intervalMs));
+                reader.hint(reply.newestRevision, createPeerSource(calls, options.intervalMs));
             }
             else {
                 view.noteFailure(peerId);
@@ -75,8 +81,8 @@
     }
 }
 
-/** A peer as a source of the configuration, for when the table service is down. */
-function createSource(
+/** Creates a configuration source that reads from a peer, for use while the table service is down. */
+function createPeerSource(
     calls: ReturnType<peer.PeerConnections["get"]>,
     timeoutMs: number,
 ): configuration.ConfigurationSource {
--- a/src/instance/index.ts
+++ b/src/instance/index.ts
@@ -1,2 +1,2 @@
-/** One instance: every role in one process. */
+/** One instance: all roles in one process. */
 export { createInstance, type Instance, type InstanceOptions, type InstanceStatus } from "./instance";
--- a/src/instance/instance.ts
+++ b/src/instance/instance.ts
@@ -1,4 +1,4 @@
-/** Puts the duties together into one instance, and takes it through start and shutdown. */
+/** Assembles the components of an instance, and starts and stops it. */
 import * as crypto from "node:crypto";
 import * as async from "../async/index";
 import * as platform from "../backing/index";
@@ -21,58 +21,69 @@
 import * as ownedRoles from "./ownedRoles";
 import * as peerService from "./peerService";
 
+/** One instance of the system. */
 export interface Instance {
     readonly id: string;
-    /** Listens, joins the site and takes up its share of racks and queues. */
+    /** Opens the listeners, joins the other instances and starts to own racks and queues. */
     start(): Promise<void>;
-    /** Finishes requests under way, gives everything up in order, and stops. */
+    /** Finishes requests in progress, releases racks and queues, and stops. */
     stop(): Promise<void>;
-    /** Stops at once, as a crash would: nothing is finished and nothing given up. */
+    /** Stops immediately, as in a crash: requests are not finished and leases are not released. */
     kill(): Promise<void>;
+    /** Status of the instance for operators. */
     getStatus(): InstanceStatus;
 }
 
+/** Status of an instance as reported to operators. */
 export interface InstanceStatus {
     readonly instance: string;
     readonly zone: string;
     readonly leaving: boolean;
+    /** Revision of the configuration in use; 0 without one. */
     readonly revision: number;
+    /** Newest known revision, which may not be in force yet. */
     readonly newestRevision: number;
     readonly preset: string;
-    /** Milliseconds since the table service last confirmed the revision; -1 when it never did. */
+    /** Milliseconds since the table service last confirmed the revision; -1 if it never did. */
     readonly unconfirmedMs: number;
-    /** The head could not be confirmed for long: a newer revision may be in force elsewhere. */
+    /** Whether the revision has been unconfirmed for so long that other instances may use a newer one. */
     readonly mayBeBehind: boolean;
     readonly storeAvailable: boolean;
     readonly racks: readonly peer.RackLoad[];
     readonly queues: readonly queue.ZoneStatus[];
     readonly peers: ReadonlyArray<{ readonly id: string; readonly zone: string; readonly heard: boolean; }>;
+    /** Resident memory in mebibytes. */
     readonly memoryMb: number;
     readonly counters: Readonly<Record<string, number>>;
     readonly histograms: readonly observe.HistogramSummary[];
 }
 
+/** Options of `createInstance`. */
 export interface InstanceOptions {
     readonly settings: settings.InstanceSettings;
-    /** The site that becomes revision 1 when the table service holds no configuration. */
+    /** Configuration that becomes revision 1 if the table service holds none. */
     readonly bootstrapSite?: configuration.Site;
     readonly clock?: clock.Clock;
-    /** Stands in for the platform's HTTP client. */
+    /** Replaces the HTTP client of the platform. */
     readonly platform?: platform.Platform;
-    /** Whether the network lets this instance reach another zone; tests cut it. */
+    /** Whether the network connects this instance to another zone; tests simulate partitions with it. */
     readonly isLinkUp?: (zone: string) => boolean;
+    /** Replaces the HTTP client of workers. */
     readonly createWorkerClient?: workers.RackOwnerOptions["createClient"];
+    /** Seed of the random numbers; random by default. */
     readonly seed?: number;
 }
 
-const MEMBERSHIP_POLL_MS = 1000;
-const RESOLVE_MS = 3000;
-/** An instance that could not confirm the configuration for this long says that it may be behind. */
-const BEHIND_AFTER_MS = 7000;
-const IDLE_POLL_MS = 20;
-/** Longest wait of a new instance for the platform to list it. */
-const SETTLE_MS = 6000;
+const MEMBERSHIP_POLL_INTERVAL_MS = 1000;
+/** Time in which the outcome of an unanswered write is determined. */
+const RESOLVE_TIMEOUT_MS = 3000;
+/** Time without confirmation after which an instance reports that its configuration may be outdated. */
+const MAX_UNCONFIRMED_MS = 7000;
+const IDLE_POLL_INTERVAL_MS = 20;
+/** Maximum time that a new instance waits until the platform lists it. */
+const MAX_SETTLE_MS = 6000;
 
+/** Creates an instance; `start` opens its listeners. */
 export function createInstance(options: InstanceOptions): Instance {
     const { settings: cfg } = options;
     const time = options.clock ?? clock.createSystemClock();
@@ -97,13 +108,13 @@
         breakerFailures: 3,
         maxWaitMs: 2000,
     });
-    const store = jobs.createJobStore({ table, clock: time, retry, resolveMs: RESOLVE_MS });
+    const store = jobs.createJobStore({ table, clock: time, retry, resolveMs: RESOLVE_TIMEOUT_MS });
     const configurationStore = configuration.createConfigurationStore({
         table,
         clock: time,
         retry,
         leadMs: cfg.site.leadMs,
-        resolveMs: RESOLVE_MS,
+        resolveMs: RESOLVE_TIMEOUT_MS,
     });
     const reader = configuration.createConfigurationReader({
         store: configurationStore,
@@ -237,7 +248,7 @@
     const operatorsSchema = broker.createHttpService({
         name: "operators",
         address: cfg.listen.operators,
-        maxBodyBytes: OPERATOR_BODY_BYTES,
+        maxBodyBytes: MAX_OPERATOR_BODY_BYTES,
         maxConnections: cfg.callers.maxConnections,
         routes: operator.createOperatorsHttp({
             reader,
@@ -259,7 +270,7 @@
             newestRevision: reader.getNewestRevision(),
             preset: current?.head.preset ?? "",
             unconfirmedMs: Number.isFinite(unconfirmedMs) ? Math.round(unconfirmedMs) : -1,
-            mayBeBehind: unconfirmedMs > BEHIND_AFTER_MS,
+            mayBeBehind: unconfirmedMs > MAX_UNCONFIRMED_MS,
             storeAvailable: table.isAvailable(),
             racks: roles.getRackLoads(),
             queues: roles.getQueueStatus(),
@@ -271,19 +282,20 @@
     };
 
     /**
-     * A new instance knows nobody, takes itself for the only one and would take every rack and queue: a stampede on
-     * workers and table service at each start, seen as `racks.taken` above its share. So it waits until the platform lists
-     * it, at which time it also knows the others; without the platform it goes by heartbeats after a while.
+     * Waits until the platform lists this instance, which is when it also knows the others. Without the wait a new
+     * instance would consider itself the only one and take all racks and queues. That would overload the workers and
+     * the table service at each start and raise `racks.taken` above the instance's share. If the platform is down, the
+     * instance relies on heartbeats after `MAX_SETTLE_MS`.
      */
     const adjustRoles = () => {
-        if (settled || time.now() - startedAt > SETTLE_MS) {
+        if (settled || time.now() - startedAt > MAX_SETTLE_MS) {
             roles.adjust();
         }
     };
 
     const pollMembership = async (signal: AbortSignal) => {
         while (!signal.aborted) {
-            // Announced along with each poll, so that the entry does not expire.
+            // Announces the instance at each poll, so that its entry does not expire.
             await services.membership.announce({ ...self, state: leaving ? "leaving" : "live" });
             const snapshot = await services.membership.list();
             if (snapshot) {
@@ -291,7 +303,7 @@
                 settled = settled || snapshot.instances.some(item => item.id === id);
                 adjustRoles();
             }
-            await time.sleep(MEMBERSHIP_POLL_MS, signal);
+            await time.sleep(MEMBERSHIP_POLL_INTERVAL_MS, signal);
         }
     };
 
@@ -313,14 +325,14 @@
         log.info("site bootstrapped", { won: changed.ok });
     };
 
-    const spawn = (work: Promise<void>) => {
-        loops.push(work.catch(err => log.error("loop failed", { cause: result.getErrorMessage(err) })));
+    const startLoop = (work: Promise<void>) => {
+        loops.push(work.catch(err => log.error("background loop failed", { cause: result.getErrorMessage(err) })));
     };
 
     const waitUntilIdle = async () => {
         const deadline = time.now() + cfg.shutdown.drainMs;
         while (!activity.isIdle() && time.now() < deadline) {
-            await time.sleep(IDLE_POLL_MS);
+            await time.sleep(IDLE_POLL_INTERVAL_MS);
         }
     };
 
@@ -336,9 +348,9 @@
             peerServer = await peer.startPeerServer(cfg.listen.peers, local, credentials);
             await bootstrap();
             reader.registerListener(adjustRoles);
-            spawn(reader.run(running.signal));
-            spawn(pollMembership(running.signal));
-            const beatOptions: heartbeats.HeartbeatOptions = {
+            startLoop(reader.run(running.signal));
+            startLoop(pollMembership(running.signal));
+            const heartbeatOptions: heartbeats.HeartbeatOptions = {
                 self,
                 clock: time,
                 view,
@@ -351,9 +363,9 @@
             const peers = ownership.createHoldings<string>({
                 log,
                 create: key => key,
-                own: (key, signal) => heartbeats.beat(beatOptions, key, signal),
+                own: (key, signal) => heartbeats.exchangeHeartbeats(heartbeatOptions, key, signal),
             });
-            spawn(heartbeats.runHeartbeats(beatOptions, peers, running.signal));
+            startLoop(heartbeats.runHeartbeats(heartbeatOptions, peers, running.signal));
             serviceBroker.createService(callersSchema);
             serviceBroker.createService(operatorsSchema);
             await serviceBroker.start();
@@ -365,7 +377,7 @@
             view.setLeaving();
             await services.membership.announce({ ...self, state: "leaving" });
             roles.adjust();
-            // Balancers and callers learn of it late; what still arrives is served, by the racks' next owners.
+            // Load balancers and callers learn of it late; requests that still arrive go to the racks' next owners.
             await time.sleep(cfg.shutdown.noticeMs);
             refusing = true;
             await waitUntilIdle();
@@ -388,4 +400,5 @@
     };
 }
 
-const OPERATOR_BODY_BYTES = 4 * 1_048_576;
+/** Maximum size of an operator's request body. */
+const MAX_OPERATOR_BODY_BYTES = 4 * 1_048_576;
--- a/src/instance/ownedRoles.ts
+++ b/src/instance/ownedRoles.ts
@@ -1,4 +1,4 @@
-/** The racks and queues that this instance owns, and the way to the owners of others. */
+/** The racks and queues that this instance owns, and calls to the owners of all racks and queues. */
 import * as crypto from "node:crypto";
 import type * as platform from "../backing/index";
 import type * as clock from "../clock/index";
@@ -14,6 +14,7 @@
 
 type PeerCalls = ReturnType<peer.PeerConnections["get"]>;
 
+/** Options of `createOwnedRoles`. */
 export interface OwnedRolesOptions {
     readonly cfg: settings.InstanceSettings;
     readonly clock: clock.Clock;
@@ -27,49 +28,62 @@
     readonly owners: ownership.Ownership;
     readonly reader: configuration.ConfigurationReader;
     readonly createClient: workers.RackOwnerOptions["createClient"];
+    /** Calls another instance; resolves to `undefined` if it is unknown or there was no reply. */
     readonly callPeer: <T>(
         instanceId: string,
         call: (calls: PeerCalls) => Promise<T | undefined>,
     ) => Promise<T | undefined>;
+    /** Service of this instance, used for calls to itself. */
     readonly getLocal: () => peer.PeerService;
+    /** Finds a zone other than `from` with enough free accelerators for the job. */
     readonly findOtherZone: (
         job: { readonly account: string; readonly accelerators: number; },
         from: string,
     ) => string | undefined;
 }
 
+/** State of a worker as reported to operators. */
 export interface WorkerView {
     readonly worker: string;
     readonly rack: string;
     readonly zone: string;
     readonly usable: boolean;
+    /** Why the worker cannot be reached; otherwise empty. */
     readonly reason: string;
+    /** Number of interactive requests. */
     readonly interactive: number;
+    /** Number of running tasks of jobs. */
     readonly tasks: number;
+    /** Accelerators of the running tasks. */
     readonly accelerators: number;
 }
 
+/** Racks and queues of this instance. */
 export interface OwnedRoles {
+    /** The rack, if this instance owns it. */
     getRack(rackId: string): workers.RackOwner | undefined;
+    /** The queue of the zone, if this instance owns it. */
     getQueue(zone: string): queue.ZoneQueue | undefined;
     getRackLoads(): peer.RackLoad[];
     getZoneLoads(): peer.ZoneLoad[];
     getQueueStatus(): queue.ZoneStatus[];
     getWorkerViews(): WorkerView[];
-    /** Takes up and gives up racks and queues by the present view. */
+    /** Acquires and releases racks and queues according to the current membership and configuration. */
     adjust(): void;
-    /** Calls the owner of a rack, which may be this instance. */
+    /** Calls the owner of a rack, which may be this instance; resolves to `undefined` if there was no reply. */
     callRackOwner<T>(rackId: string, call: (calls: PeerCalls) => Promise<T | undefined>): Promise<T | undefined>;
+    /** Calls the owner of a zone's queue, which may be this instance; resolves to `undefined` if there was no reply. */
     callQueueOwner<T>(zone: string, call: (calls: PeerCalls) => Promise<T | undefined>): Promise<T | undefined>;
-    /** Gives everything up in order. */
+    /** Releases all racks and queues and waits for their loops to end. */
     close(): Promise<void>;
-    /** Stops without giving anything back, as a crash would. */
+    /** Stops without releasing leases, as in a crash. */
     abandon(): void;
 }
 
 const REPORT_TIMEOUT_MS = 1500;
 const COMMAND_TIMEOUT_MS = 4000;
 
+/** Creates the roles of an instance; it owns none until `adjust` is called. */
 export function createOwnedRoles(options: OwnedRolesOptions): OwnedRoles {
     const { cfg, clock: time, counters, log, owners, reader, view } = options;
     let abandoned = false;
@@ -83,7 +97,7 @@
         return view.isLeaving(workerId) || (preset?.drainedWorkers.includes(workerId) ?? false);
     };
 
-    /** Calls to this instance itself take the same form as calls to others, without the network. */
+    /** Calls to this instance have the same interface as calls to others, but do not use the network. */
     const localCalls: PeerCalls = {
         heartbeat: req => options.getLocal().heartbeat(req),
         run: req => options.getLocal().run(req),
@@ -101,8 +115,8 @@
     };
 
     /**
-     * Asks the instance that holds the role: the owner by hashing, or, while that one has not taken over yet, whoever else
-     * of the zone says by heartbeat that it still holds the rack.
+     * Calls the instance whose heartbeat says that it holds the rack, since a new owner may not have taken over yet;
+     * without such a heartbeat, calls the owner by hashing.
      */
     const callRackOwner: OwnedRoles["callRackOwner"] = (rackId, call) => {
         if (getRack(rackId)) {
@@ -123,7 +137,7 @@
         log,
         create: key => {
             const { topology } = getCurrent();
-            const rack = topology.racks.find(item => item.id === getName(key))!;
+            const rack = topology.racks.find(item => item.id === getRoleName(key))!;
             return workers.createRackOwner({
                 rack,
                 capacity: rack.capacity ?? topology.capacity,
@@ -148,7 +162,7 @@
         log,
         create: key =>
             queue.createZoneQueue({
-                zone: getName(key),
+                zone: getRoleName(key),
                 clock: time,
                 counters,
                 histograms: options.histograms,
@@ -159,10 +173,10 @@
                 getConfiguration: getCurrent,
                 isLeaving: view.isLeaving,
                 command: command => callRackOwner(command.rackId, calls => calls.command(command, COMMAND_TIMEOUT_MS)),
-                findOtherZone: job => options.findOtherZone(job, getName(key)),
+                findOtherZone: job => options.findOtherZone(job, getRoleName(key)),
                 notifyMoved: (zone, jobId) => {
                     const notice = { jobId, zone, kind: "submitted", waitMs: 0 };
-                    // The new zone's owner finds the job when it next scans its queue.
+                    // An owner that misses the notice finds the job when it next scans its queue.
                     callQueueOwner(zone, calls => calls.notifyJob(notice, REPORT_TIMEOUT_MS)).catch((err: unknown) => {
                         log.info("noticeNotSent", { job: jobId, zone, why: String(err) });
                     });
@@ -171,16 +185,16 @@
         own: (item, signal) => item.own(signal),
     });
 
-    /** Keys of what this instance should hold now; they change with the shape of what is held, so that it is rebuilt. */
-    const getWanted = () => {
+    /** Keys of the roles to own. Each includes a hash of the role's configuration, so a change recreates the role. */
+    const getWantedKeys = () => {
         const { topology, contracts } = getCurrent();
         const rackKeys = topology.racks
             .filter(rack => owners.getRackOwner(rack.id) === cfg.instance.id)
-            .map(rack => createKey(rack.id, [rack, topology.capacity]));
+            .map(rack => createRoleKey(rack.id, [rack, topology.capacity]));
         const queueKeys = topology.zones
             .filter(zone => owners.getQueueOwner(zone) === cfg.instance.id)
             .map(zone =>
-                createKey(zone, [
+                createRoleKey(zone, [
                     topology.racks.filter(rack => rack.zone === zone),
                     topology.capacity,
                     contracts.limits.interactiveReserve,
@@ -221,7 +235,7 @@
             if (!reader.getCurrent() || closing || abandoned) {
                 return;
             }
-            const wanted = getWanted();
+            const wanted = getWantedKeys();
             racks.adjust(wanted.rackKeys);
             queues.adjust(wanted.queueKeys);
         },
@@ -241,10 +255,10 @@
     };
 }
 
-function createKey(name: string, shape: unknown): string {
+function createRoleKey(name: string, shape: unknown): string {
     return `${name}@${crypto.createHash("md5").update(JSON.stringify(shape)).digest("hex")}`;
 }
 
-function getName(key: string): string {
+function getRoleName(key: string): string {
     return key.slice(0, key.indexOf("@"));
 }
--- a/src/instance/peerService.ts
+++ b/src/instance/peerService.ts
@@ -1,4 +1,4 @@
-/** What this instance answers to its peers. */
+/** Service that answers calls from peers. */
 import type * as configuration from "../configuration/index";
 import type * as membership from "../membership/index";
 import type * as peer from "../peer/index";
@@ -6,6 +6,7 @@
 import * as result from "../result/index";
 import type * as workers from "../workers/index";
 
+/** Options of `createPeerService`. */
 export interface PeerServiceOptions {
     readonly view: membership.MembershipView;
     readonly reader: configuration.ConfigurationReader;
@@ -14,6 +15,7 @@
     readonly createHeartbeat: () => peer.HeartbeatMessage;
 }
 
+/** Creates the service; calls for racks and queues that this instance does not own are answered as such. */
 export function createPeerService(options: PeerServiceOptions): peer.PeerService {
     const { reader, view } = options;
     return {
@@ -26,7 +28,7 @@
             if (rack) {
                 return rack.run(req);
             }
-            const message = `rack ${req.rackId} is not owned here`;
+            const message = `rack ${req.rackId} is not owned by this instance`;
             const refusal = { code: result.ResultCode.NotOwner, message, ran: "no", retryAfterMs: 0 };
             return { requestId: req.requestId, outcome: { $case: "refusal", value: refusal } };
         },
--- a/src/workers/rackCommands.ts
+++ b/src/workers/rackCommands.ts
@@ -16,7 +16,7 @@
     readonly allocations: rackAllocations.RackAllocations;
     readonly leases: workerSession.LeaseTimes;
     /** Whether the worker must not take new tasks. */
-    readonly isClosed: (workerId: string) => boolean;
+    readonly isDrained: (workerId: string) => boolean;
     readonly counters: observe.Counters;
 }
 
@@ -59,7 +59,7 @@
                 const order = toTaskOrder(action.value, options.leases.taskMs);
                 // The order may repeat one whose answer was lost; the resources of a known task are already allocated.
                 const isNew = !session.getTasks().has(order.taskId);
-                if (isNew && (options.isClosed(session.workerId) || !allocations.hasRoom(session, order.needs))) {
+                if (isNew && (options.isDrained(session.workerId) || !allocations.hasRoom(session, order.needs))) {
                     return refused("noRoom");
                 }
                 return toResult(session, await session.client.create(token, order));
--- a/src/workers/rackOwner.ts
+++ b/src/workers/rackOwner.ts
@@ -128,7 +128,7 @@
         sessions,
         allocations,
         leases: options.leases,
-        isClosed: workerId => options.isDrained(workerId),
+        isDrained: workerId => options.isDrained(workerId),
         counters,
     });
 
--- a/src/workers/taskNote.ts
+++ b/src/workers/taskNote.ts
@@ -14,7 +14,7 @@
 /** Metadata of a queued task. */
 export type TaskNote = z.infer<typeof noteSchema>;
 
-const NO_NOTE: TaskNote = { jobId: "", attempt: 0, index: 0, members: 0, evictable: false, urgent: false };
+const EMPTY_NOTE: TaskNote = { jobId: "", attempt: 0, index: 0, members: 0, evictable: false, urgent: false };
 
 /** Encodes a note as JSON. */
 export function writeNote(note: TaskNote): string {
@@ -24,12 +24,12 @@
 /** Decodes a note; an invalid text yields a note with an empty job id and no members. */
 export function readNote(text: string): TaskNote {
     if (text === "") {
-        return NO_NOTE;
+        return EMPTY_NOTE;
     }
     try {
         return noteSchema.parse(JSON.parse(text));
     }
     catch {
-        return NO_NOTE;
+        return EMPTY_NOTE;
     }
 }
