--- a/src/entry/interactiveRouter.ts
+++ b/src/entry/interactiveRouter.ts
@@ -52,7 +52,7 @@
 const RETRY_DELAY_MS = 50;
 /** Maximum number of racks that a repeatable request is sent to. */
 const MAX_RACKS = 4;
-/** Maximum number of new ids triedRacks for a request that may run at most once, while the homes are unavailable. */
+/** Maximum number of new ids tried for a request that may run at most once, while the homes are unavailable. */
 const MAX_REQUEST_IDS = 4;
 /** Codes after which the request may be sent to another rack, because the work did not run. */
 const RETRYABLE_CODES: readonly number[] = [
@@ -153,7 +153,7 @@
         if (!home) {
             return refused(req.requestId, result.ResultCode.OwnerUnavailable, "the topology is not known yet");
         }
-        let sent = false;
+        let mayHaveRun = false;
         while (time.now() < deadline) {
             const timeoutMs = deadline - time.now();
             const message = { ...req, rackId: home.rackId, homeWorkerId: home.workerId, deadlineInMs: timeoutMs };
@@ -161,13 +161,13 @@
             const outcome = reply && readReply(reply, req.requestId);
             const isNotOwner = outcome?.kind === "refused" && outcome.refusal.code === result.ResultCode.NotOwner;
             if (outcome && !isNotOwner) {
-                return sent ? withUnknownRan(outcome) : outcome;
+                return mayHaveRun ? withUnknownRan(outcome) : outcome;
             }
-            sent = sent || !reply;
+            mayHaveRun = mayHaveRun || !reply;
             counters.increment("entry.homeRetried");
             await time.sleep(RETRY_DELAY_MS);
         }
-        return sent
+        return mayHaveRun
             ? refused(
                 req.requestId,
                 result.ResultCode.Unresolved,
--- a/src/instance/ownedRoles.ts
+++ b/src/instance/ownedRoles.ts
@@ -48,7 +48,7 @@
     readonly rack: string;
     readonly zone: string;
     readonly usable: boolean;
-    /** Why the worker cannot be reached; otherwise empty. */
+    /** Why no commands can be sent to the worker; otherwise empty. */
     readonly reason: string;
     /** Number of interactive requests. */
     readonly interactive: number;
--- a/src/workers/health.ts
+++ b/src/workers/health.ts
@@ -26,7 +26,9 @@
     readonly clock: clock.Clock;
     /** Number of workers; at most half of them are quarantined at a time. */
     readonly workerCount: number;
+    /** Called when a worker is quarantined. */
     readonly onSetAside?: (workerId: string) => void;
+    /** Called when a worker's quarantine ends by a success or a cleared failure. */
     readonly onBack?: (workerId: string) => void;
 }
 
--- a/src/workers/workerPort.ts
+++ b/src/workers/workerPort.ts
@@ -79,7 +79,7 @@
 export interface SyncOrder {
     readonly token: number;
     readonly ttlMs: number;
-    /** Ids of the tasks whose leases are extended by `leaseMs`. */
+    /** Ids of the tasks whose leases are renewed to last `leaseMs` from now. */
     readonly renew: readonly string[];
     readonly leaseMs: number;
     /** Ids of ended tasks whose outcome is recorded; the worker may discard them. */
