--- a/soak/__tests__/violations.test.ts
+++ b/soak/__tests__/violations.test.ts
@@ -33,18 +33,18 @@
 
 type ObservedByWorkers = Pick<
     emulator.EmulatedWorkers,
-    "breaches" | "starts" | "aloneEnds" | "shrunkStarts" | "lossTimes" | "lossCounts" | "doneCounts"
+    "violations" | "starts" | "gangTimeouts" | "startsAfterShrink" | "lossTimes" | "lossCounts" | "completionCounts"
 >;
 
 function createWorkers(fields: Partial<ObservedByWorkers>): emulator.EmulatedWorkers {
     const observed: ObservedByWorkers = {
-        breaches: [],
+        violations: [],
         starts: [],
-        aloneEnds: [],
-        shrunkStarts: [],
+        gangTimeouts: [],
+        startsAfterShrink: [],
         lossTimes: [],
         lossCounts: new Map(),
-        doneCounts: new Map(),
+        completionCounts: new Map(),
         ...fields,
     };
     return observed as emulator.EmulatedWorkers;
@@ -115,31 +115,31 @@
     },
     {
         name: "a gang of which only a part started",
-        workers: { aloneEnds: [startAt(9_000)] },
+        workers: { gangTimeouts: [startAt(9_000)] },
         violation: "the rest of its gang did not start",
     },
     {
         name: "a gang of which only a part started, during a fault",
-        workers: { aloneEnds: [startAt(9_000)] },
+        workers: { gangTimeouts: [startAt(9_000)] },
         faultFreeTimes: NEVER_FAULT_FREE,
     },
     {
         name: "a gang of which only a part started, long after a worker was lost",
-        workers: { aloneEnds: [startAt(9_000)], lossTimes: [3_900] },
+        workers: { gangTimeouts: [startAt(9_000)], lossTimes: [3_900] },
         violation: "the rest of its gang did not start",
     },
     {
         name: "a gang of which only a part started, soon after a worker was lost",
-        workers: { aloneEnds: [startAt(9_000)], lossTimes: [4_100] },
+        workers: { gangTimeouts: [startAt(9_000)], lossTimes: [4_100] },
     },
     {
         name: "a start beyond a reduced capacity",
-        workers: { shrunkStarts: [startAt(9_000)] },
+        workers: { startsAfterShrink: [startAt(9_000)] },
         violation: "beyond its reduced capacity",
     },
     {
         name: "a start beyond a reduced capacity, during a fault",
-        workers: { shrunkStarts: [startAt(9_000)] },
+        workers: { startsAfterShrink: [startAt(9_000)] },
         faultFreeTimes: NEVER_FAULT_FREE,
     },
     {
@@ -155,7 +155,7 @@
     },
     {
         name: "a violation that a worker has observed",
-        workers: { breaches: ["a task ran twice"] },
+        workers: { violations: ["a task ran twice"] },
         violation: "a task ran twice",
     },
 ];
@@ -172,8 +172,8 @@
 
 test("a job may be reported as completed only when all of its tasks have succeeded", () => {
     const record = createRecord({});
-    const half = createWorkers({ doneCounts: new Map([[TASKS[0]!, 1]]) });
-    const whole = createWorkers({ doneCounts: new Map(TASKS.map(task => [task, 1])) });
+    const half = createWorkers({ completionCounts: new Map([[TASKS[0]!, 1]]) });
+    const whole = createWorkers({ completionCounts: new Map(TASKS.map(task => [task, 1])) });
     expect(violationChecks.checkReportedState(record, "completed", half)).toEqual([expect.stringContaining(TASKS[1]!)]);
     expect(violationChecks.checkReportedState(record, "completed", whole)).toEqual([]);
     expect(violationChecks.checkReportedState(record, "running", half)).toEqual([]);
--- a/soak/site.ts
+++ b/soak/site.ts
@@ -121,7 +121,7 @@
         let worker: leader.WorkerInfo | undefined;
         let lastId: string | undefined;
         const updateDirectory = ({ id }: leader.WorkerInfo) =>
-            store.put(standin.encodeWorkerRow(workers.getInfo(id), workers.getBornAt(id)));
+            store.put(standin.encodeWorkerRow(workers.getInfo(id), workers.getStartedAt(id)));
         await openServer(
             standin.createWorkerServer({ port: workers.port, getWorkerId: () => worker?.id }),
             server,
@@ -131,7 +131,7 @@
             link,
             getWorkerId: () => worker?.id,
             getIncarnationId: () =>
-                worker && leader.getIncarnationId({ name: worker.id, startedAt: workers.getBornAt(worker.id) }),
+                worker && leader.getIncarnationId({ name: worker.id, startedAt: workers.getStartedAt(worker.id) }),
             drain: remainingMs => {
                 if (worker && !worker.draining) {
                     workers.drain(worker.id, remainingMs);
--- a/soak/violations.ts
+++ b/soak/violations.ts
@@ -42,12 +42,12 @@
 /** Returns a description of each violation. */
 export function findViolations(input: RunObservations): string[] {
     return [
-        ...input.workers.breaches,
+        ...input.workers.violations,
         ...input.jobs.flatMap(record => checkFinalState(record, input.workers)),
         ...checkStartsAfterCancellation(input),
         ...checkStartsOverCapacity(input),
         ...checkStartsOnDrainingWorkers(input),
-        ...input.workers.aloneEnds
+        ...input.workers.gangTimeouts
             .filter(end =>
                 input.faultFreeTimes.isFaultFree(end.at - MAX_GANG_WAIT_MS, end.at)
                 && !isSoonAfterWorkerLoss(end.at, input.workers)
@@ -74,7 +74,7 @@
     }
     const { job } = record;
     return listTasks(job)
-        .filter(task => !workers.doneCounts.has(task))
+        .filter(task => !workers.completionCounts.has(task))
         .map(task => `job ${job.jobId} is reported as completed, but task ${task} has not succeeded`);
 }
 
@@ -96,7 +96,7 @@
         : [`job ${job.jobId} is ${record.state ?? "not reported"}, not ${expected.join(" or ")}`];
 }
 
-function checkStartsAfterCancellation({ jobs, workers, faultFreeTimes: faultFreeTimes }: RunObservations): string[] {
+function checkStartsAfterCancellation({ jobs, workers, faultFreeTimes }: RunObservations): string[] {
     return jobs.flatMap(record => {
         const { cancelledAt } = record;
         if (cancelledAt === undefined) {
@@ -115,8 +115,8 @@
 }
 
 /** A start that a link has delayed may rely on a capacity that the worker had reported before. */
-function checkStartsOverCapacity({ workers, faultFreeTimes: faultFreeTimes }: RunObservations): string[] {
-    return workers.shrunkStarts
+function checkStartsOverCapacity({ workers, faultFreeTimes }: RunObservations): string[] {
+    return workers.startsAfterShrink
         .filter(start => faultFreeTimes.isFaultFree(start.at - MAX_STALE_CAPACITY_MS, start.at))
         .map(start => `${start.task} started on ${start.workerId} beyond its reduced capacity`);
 }
@@ -124,7 +124,7 @@
 /** Longest time for which a capacity report that a link has delayed may still be relied on. */
 const MAX_STALE_CAPACITY_MS = 10_000;
 
-function checkStartsOnDrainingWorkers({ drains, workers, faultFreeTimes: faultFreeTimes }: RunObservations): string[] {
+function checkStartsOnDrainingWorkers({ drains, workers, faultFreeTimes }: RunObservations): string[] {
     return drains.flatMap(drain =>
         workers.starts
             .filter(start => start.incarnationId === drain.incarnationId)
--- a/src/emulator/site.ts
+++ b/src/emulator/site.ts
@@ -167,7 +167,7 @@
         const isOther = (name: string) => name !== getInstanceName(number);
         const scheduler = schedulers.createScheduler({
             instance: getInstanceName(number),
-            incarnation: `life-${++incarnationCount}`,
+            incarnationId: `life-${++incarnationCount}`,
             power: options.getPower?.(number) ?? 1,
             watchAddress: getInstanceName(number),
             peerAddress: getInstanceName(number),
@@ -188,11 +188,11 @@
                 getCandidates: () => instances.map((_, other) => getInstanceName(other)).filter(isOther),
                 queryCandidate: async (candidate, offer) => {
                     await time.sleep(WORKER_LATENCY_MS);
-                    return findAlive(candidate)?.scheduler.handover.answer(offer);
+                    return findAlive(candidate)?.scheduler.handover.answerOffer(offer);
                 },
                 notifySuccessor: async (candidate, offer) => {
                     await time.sleep(WORKER_LATENCY_MS);
-                    findAlive(candidate)?.scheduler.handover.take(offer);
+                    findAlive(candidate)?.scheduler.handover.acceptHandover(offer);
                 },
             },
             store: freezer.wrapStore(store.open(getInstanceName(number))),
--- a/src/emulator/workerOrders.ts
+++ b/src/emulator/workerOrders.ts
@@ -18,8 +18,8 @@
 
 /** Faults of emulated workers. */
 export interface WorkerFaults {
-    /** Returns the fault for a call; "look" is a poll. */
-    decide(workerId: string, call: "start" | "stop" | "look" | "pace"): OrderFault;
+    /** Returns the fault for a call. */
+    decide(workerId: string, call: "start" | "stop" | "poll" | "pace"): OrderFault;
     /** Delay of the fault `late`. */
     readonly lateMs: number;
     /** Factor by which the worker's tasks take longer than usual; with `Infinity` they make no progress. */
@@ -173,7 +173,7 @@
 
     const call = async <T extends leader.OrderAnswer | leader.PollAnswer>(
         worker: leader.WorkerAddress,
-        kind: "start" | "stop" | "look" | "pace",
+        kind: "start" | "stop" | "poll" | "pace",
         timeoutMs: number,
         handle: (incarnation: workerIncarnation.Incarnation) => T | Promise<T>,
     ): Promise<T | leader.OrderAnswer> => {
@@ -222,6 +222,6 @@
                 workerClock: workerIncarnation.readClock(incarnation, time.now()),
             })),
         poll: (worker, order, timeoutMs) =>
-            call(worker, "look", timeoutMs, incarnation => poll(incarnation, order)) as Promise<leader.PollAnswer>,
+            call(worker, "poll", timeoutMs, incarnation => poll(incarnation, order)) as Promise<leader.PollAnswer>,
     };
 }
--- a/src/emulator/workers.ts
+++ b/src/emulator/workers.ts
@@ -45,7 +45,7 @@
     /** Announces that the worker leaves in `remainingMs`. */
     drain(id: string, remainingMs: number): void;
     /** Wall-clock time at which the worker's latest incarnation started. */
-    getBornAt(id: string): number;
+    getStartedAt(id: string): number;
     /** The worker's current description, or its last one. */
     getInfo(id: string): leader.WorkerInfo;
     /** The id of the worker that runs at the address now, or `undefined`. */
@@ -56,14 +56,14 @@
     getRunningTasks(): readonly string[];
     /** Resources that tasks use on the worker; `undefined` once it has ended. */
     getUsedResources(id: string): work.Resources | undefined;
-    /** Descriptions of invariant violations, apart from those of `shrunkStarts`. */
-    readonly breaches: readonly string[];
+    /** Descriptions of invariant violations, apart from those of `startsAfterShrink`. */
+    readonly violations: readonly string[];
     /** All starts, in order. */
     readonly starts: readonly startChecks.StartRecord[];
     /** Members of gangs that timed out waiting for the others. */
-    readonly aloneEnds: readonly startChecks.StartRecord[];
+    readonly gangTimeouts: readonly startChecks.StartRecord[];
     /** Starts that exceed a capacity which was reduced well before they were sent: violations, unless links delayed them. */
-    readonly shrunkStarts: readonly startChecks.StartRecord[];
+    readonly startsAfterShrink: readonly startChecks.StartRecord[];
     /** Number of workers that each task has crashed. */
     readonly crashCounts: ReadonlyMap<string, number>;
     /** Times at which workers were lost. */
@@ -71,7 +71,7 @@
     /** Number of workers that were lost while they ran each task. */
     readonly lossCounts: ReadonlyMap<string, number>;
     /** Number of completed runs of each task that has any. */
-    readonly doneCounts: ReadonlyMap<string, number>;
+    readonly completionCounts: ReadonlyMap<string, number>;
 }
 
 /** Interval at which the runs progress. */
@@ -88,8 +88,8 @@
     const faults = options.faults ?? NO_FAULTS;
     const incarnations = new Map<string, workerIncarnation.Incarnation>();
     const starts: startChecks.StartRecord[] = [];
-    const doneCounts = new Map<string, number>();
-    const aloneEnds: startChecks.StartRecord[] = [];
+    const completionCounts = new Map<string, number>();
+    const gangTimeouts: startChecks.StartRecord[] = [];
     const lossTimes: number[] = [];
     const lossCounts = new Map<string, number>();
     const checks = startChecks.createStartChecks(incarnations);
@@ -115,7 +115,7 @@
             checks.recordEnd(incarnation, run, incarnation.nextEndNumber - 1, how);
         }
         if (how === "done") {
-            doneCounts.set(run.task, (doneCounts.get(run.task) ?? 0) + 1);
+            completionCounts.set(run.task, (completionCounts.get(run.task) ?? 0) + 1);
         }
         [...incarnation.waiters].forEach(wake => wake());
     };
@@ -155,7 +155,7 @@
             }
             if (gang.length < run.model.gangSize) {
                 if (time.now() - run.startedAt >= gangTimeoutMs) {
-                    aloneEnds.push({
+                    gangTimeouts.push({
                         task: run.task,
                         run: run.run,
                         workerId: incarnation.info.id,
@@ -264,14 +264,14 @@
         incarnation.runs.clear();
     };
     return {
-        breaches: checks.violations,
+        violations: checks.violations,
         starts,
-        aloneEnds,
-        shrunkStarts: checks.startsAfterShrink,
+        gangTimeouts,
+        startsAfterShrink: checks.startsAfterShrink,
         crashCounts: checks.crashCounts,
         lossTimes,
         lossCounts,
-        doneCounts,
+        completionCounts,
         add: info => add(info),
         restart: id => {
             kill(id, false);
@@ -294,7 +294,7 @@
         findByAddress: address =>
             [...incarnations.values()].find(incarnation => incarnation.alive && incarnation.info.address === address)
                 ?.info.id,
-        getBornAt: id => incarnations.get(id)!.startedAt,
+        getStartedAt: id => incarnations.get(id)!.startedAt,
         getInfo: id => incarnations.get(id)!.info,
         countRunning: id => incarnations.get(id)!.runs.size,
         getUsedResources: id => {
@@ -334,5 +334,5 @@
 
 /** Describes all invariant violations, for sites whose links do not delay orders. */
 export function listViolations(workers: EmulatedWorkers): readonly string[] {
-    return [...workers.breaches, ...workers.shrunkStarts.map(startChecks.describeStartAfterShrink)];
+    return [...workers.violations, ...workers.startsAfterShrink.map(startChecks.describeStartAfterShrink)];
 }
--- a/src/leader/__tests__/fixtures.ts
+++ b/src/leader/__tests__/fixtures.ts
@@ -54,11 +54,11 @@
     predecessorsInactiveAt: 0,
 };
 
-/** An empty registry; `stopWanted` is called for each task that is to be stopped. */
+/** An empty registry; `onStopRequested` is called for each task that is to be stopped. */
 export function createJobRegistry(
-    { getWorkers = () => [], stopWanted = () => undefined }: {
+    { getWorkers = () => [], onStopRequested = () => undefined }: {
         getWorkers?(): Iterable<entries.WorkerEntry>;
-        stopWanted?(task: entries.TaskEntry): void;
+        onStopRequested?(task: entries.TaskEntry): void;
     } = {},
 ): jobRegistries.JobRegistry {
     return jobRegistries.createJobRegistry({
@@ -69,7 +69,7 @@
         listener: {
             onOccurrenceChanged: () => undefined,
             onJobChanged: () => undefined,
-            onStopRequested: stopWanted,
+            onStopRequested,
             onRunObsolete: () => undefined,
             onChanged: () => undefined,
         },
--- a/src/leader/__tests__/handoverCalls.test.ts
+++ b/src/leader/__tests__/handoverCalls.test.ts
@@ -8,11 +8,11 @@
     const asked: leader.HandoverOffer[] = [];
     const taken: leader.HandoverOffer[] = [];
     const server = calls.createCallServer(leader.createHandoverRoutes({
-        answer: async offer => {
+        answerOffer: async offer => {
             asked.push(offer);
             return candidacy;
         },
-        take: offer => {
+        acceptHandover: offer => {
             taken.push(offer);
         },
     }));
--- a/src/leader/__tests__/workerRegistry.test.ts
+++ b/src/leader/__tests__/workerRegistry.test.ts
@@ -30,7 +30,7 @@
     const polls: string[] = [];
     const jobs = fixtures.createJobRegistry({
         getWorkers: () => registry.workers.values(),
-        stopWanted: task => stops.push(task.worker!.id),
+        onStopRequested: task => stops.push(task.worker!.id),
     });
     const registry: workerRegistry.WorkerRegistry = workerRegistry.createWorkerRegistry({
         clock: time,
--- a/src/leader/handover.ts
+++ b/src/leader/handover.ts
@@ -62,9 +62,9 @@
      */
     offerLeadership(): Promise<void>;
     /** Whether this instance could lead in place of the offering one; `undefined` if not. */
-    answer(handoverOffer: HandoverOffer): Promise<Candidacy | undefined>;
+    answerOffer(handoverOffer: HandoverOffer): Promise<Candidacy | undefined>;
     /** Takes the lease over from the offering instance, whose term has ended. */
-    take(handoverOffer: HandoverOffer): void;
+    acceptHandover(handoverOffer: HandoverOffer): void;
 }
 
 /** An answer usually takes 10 ms: a read of the store and the round trip. */
@@ -124,13 +124,13 @@
                 offering = false;
             }
         },
-        answer: async offer => {
+        answerOffer: async offer => {
             const isCurrent = () => held.getObservation()?.record.holder === offer.holder;
             if (!isCurrent() || options.isStoreUnreachable()) {
                 return undefined;
             }
             return await canReadStore() && isCurrent() ? { power: options.power } : undefined;
         },
-        take: offer => held.takeOverFrom(offer.token),
+        acceptHandover: offer => held.takeOverFrom(offer.token),
     };
 }
--- a/src/leader/handoverCalls.ts
+++ b/src/leader/handoverCalls.ts
@@ -30,13 +30,15 @@
 }
 
 /** Creates the routes of the candidate side. A malformed offer is answered with status 400. */
-export function createHandoverRoutes(handler: Pick<handover.Handover, "answer" | "take">): calls.CallRoute[] {
+export function createHandoverRoutes(
+    handler: Pick<handover.Handover, "answerOffer" | "acceptHandover">,
+): calls.CallRoute[] {
     return [
         {
             path: ASK_PATH,
             handle: async text => {
                 const offer = decodeOffer(text);
-                return offer && String((await handler.answer(offer))?.power ?? NO_POWER);
+                return offer && String((await handler.answerOffer(offer))?.power ?? NO_POWER);
             },
         },
         {
@@ -46,7 +48,7 @@
                 if (!offer) {
                     return undefined;
                 }
-                handler.take(offer);
+                handler.acceptHandover(offer);
                 return "";
             },
         },
--- a/src/leader/jobRegistry.ts
+++ b/src/leader/jobRegistry.ts
@@ -67,7 +67,7 @@
     /** Records the progress that the task's worker reported. */
     recordProgress(task: entries.TaskEntry, progress: port.RunningTask): void;
     /** Handles the loss of a worker: its incarnation has ended, or the leases of all its tasks have expired. */
-    loseTasksOf(
+    handleWorkerLoss(
         worker: entries.WorkerEntry,
         reason: workerLosses.LossReason,
         next?: workerLosses.NextIncarnation,
@@ -401,7 +401,7 @@
                 task.lastProgressAt = time.now();
             }
         },
-        loseTasksOf: losses.loseTasksOf,
+        handleWorkerLoss: losses.handleWorkerLoss,
         crashAttribution: losses.crashAttribution,
         forgetJob: job => {
             jobs.delete(job.submission.jobId);
--- a/src/leader/taskWatchdog.ts
+++ b/src/leader/taskWatchdog.ts
@@ -59,11 +59,11 @@
         readonly clock: clock.Clock;
         readonly leadership: heldLease.Leadership;
         readonly maxLeaseMs: number;
-        readonly jobRegistry: Pick<jobRegistry.JobRegistry, "loseTasksOf">;
+        readonly jobRegistry: Pick<jobRegistry.JobRegistry, "handleWorkerLoss">;
     },
 ): void {
     if (options.clock.now() > leaseExpiry.getExpiresAt(options.leadership.predecessorsInactiveAt, options.maxLeaseMs)) {
-        options.jobRegistry.loseTasksOf(worker, "lapsed");
+        options.jobRegistry.handleWorkerLoss(worker, "lapsed");
     }
 }
 
--- a/src/leader/term.ts
+++ b/src/leader/term.ts
@@ -49,7 +49,7 @@
     readonly waves: machines.WavePort;
     readonly policy: decisions.Policy;
     /** Unique to this incarnation of the instance. */
-    readonly incarnation: string;
+    readonly incarnationId: string;
     /** Maximum lease of the tasks on a worker, in milliseconds. */
     readonly maxLeaseMs: number;
     /** How long a start may rely on a reported capacity, in milliseconds. */
@@ -270,7 +270,7 @@
         const view = createView(guarantees.findGuaranteedJobs(jobRegistry.active, options.catalog.getAccount));
         taskWatchdog.stopUnviableTasks([...registry.workers.values()], {
             now,
-            estimateRunMs: estimateRunMs,
+            estimateRunMs,
             jobRegistry,
             log,
             disabledMechanisms,
@@ -359,7 +359,7 @@
             clock: time,
             log,
             leadership,
-            holder: options.incarnation,
+            holder: options.incarnationId,
             upkeepMs: options.upkeepMs,
             jobRegistry,
             getWorker: registry.findCurrent,
--- a/src/leader/workerLosses.ts
+++ b/src/leader/workerLosses.ts
@@ -42,7 +42,7 @@
 /** Handles lost workers and the crash limit of tasks. */
 export interface WorkerLosses {
     /** Handles all tasks of a lost worker. */
-    loseTasksOf(worker: entries.WorkerEntry, reason: LossReason, next?: NextIncarnation): void;
+    handleWorkerLoss(worker: entries.WorkerEntry, reason: LossReason, next?: NextIncarnation): void;
     /** Gives the task up if it is not running and has reached its crash limit. */
     enforceCrashLimit(task: entries.TaskEntry): void;
     readonly crashAttribution: crashes.CrashAttribution;
@@ -148,7 +148,7 @@
     return {
         crashAttribution,
         enforceCrashLimit,
-        loseTasksOf: (worker, reason, next) => {
+        handleWorkerLoss: (worker, reason, next) => {
             if (next?.pollResult) {
                 listReportedTasks(worker, next.pollResult).forEach(task => moveToIncarnation(next.worker, task));
             }
--- a/src/leader/workerRegistry.ts
+++ b/src/leader/workerRegistry.ts
@@ -19,7 +19,7 @@
     readonly log: observe.Log;
     readonly leadership: heldLease.Leadership;
     readonly maxLeaseMs: number;
-    readonly jobRegistry: Pick<jobRegistry.JobRegistry, "loseTasksOf" | "crashAttribution">;
+    readonly jobRegistry: Pick<jobRegistry.JobRegistry, "handleWorkerLoss" | "crashAttribution">;
     /** Removes workers that no queue can use. */
     filterKnownServices<T extends entries.WorkerInfo>(listed: readonly T[]): readonly T[];
     openSession(worker: entries.WorkerEntry): workerSession.WorkerSession;
@@ -94,7 +94,7 @@
         if (!sessions.has(next.id)) {
             openSession(next);
         }
-        jobs.loseTasksOf(previous, "otherLife", { worker: next, pollResult });
+        jobs.handleWorkerLoss(previous, "otherLife", { worker: next, pollResult });
         for (const [task, run] of previous.unconfirmedStarts) {
             options.closeRun(next, task, run);
         }
@@ -173,7 +173,7 @@
             options.onChanged();
         },
         onLost: (worker, reason) => {
-            jobs.loseTasksOf(worker, reason);
+            jobs.handleWorkerLoss(worker, reason);
             if (reason === "otherLife") {
                 remove(worker);
             }
--- a/src/scheduler/__tests__/cancelledStarts.test.ts
+++ b/src/scheduler/__tests__/cancelledStarts.test.ts
@@ -56,8 +56,8 @@
         expect(site.workers.getRunningTasks()).toEqual([]);
         await site.clock.advance(LONG_MS);
         expect(site.workers.getRunningTasks()).toEqual([]);
-        expect(site.workers.doneCounts.size).toBe(0);
-        expect(site.workers.breaches).toEqual([]);
+        expect(site.workers.completionCounts.size).toBe(0);
+        expect(site.workers.violations).toEqual([]);
         site.close();
     });
 });
--- a/src/scheduler/__tests__/crashAttribution.test.ts
+++ b/src/scheduler/__tests__/crashAttribution.test.ts
@@ -132,7 +132,7 @@
         }
         const reply = await fixtures.advanceUntilSettled(site.clock, site.getState(job.jobId, site.getLeader() ?? 1));
         site.close();
-        expect(site.workers.breaches).toEqual([]);
+        expect(site.workers.violations).toEqual([]);
         expect(reply).toMatchObject({ state });
     });
 });
--- a/src/scheduler/__tests__/crashes.test.ts
+++ b/src/scheduler/__tests__/crashes.test.ts
@@ -159,7 +159,7 @@
             states.push(reply.kind === "state" ? reply.state : reply.kind);
         }
         site.close();
-        expect(site.workers.breaches).toEqual([]);
+        expect(site.workers.violations).toEqual([]);
         expect(states).toEqual([testCase.state, ...others.map(() => "completed")]);
     });
 });
@@ -178,7 +178,7 @@
     await fixtures.advanceUntilSettled(site.clock, site.submit(later, 1));
     await site.clock.advance(15_000);
     site.close();
-    expect(site.workers.breaches).toEqual([]);
+    expect(site.workers.violations).toEqual([]);
     expect(fixtures.getStarts(site, crashingJob)).toHaveLength(2);
     expect(fixtures.getStarts(site, soundJob)).toHaveLength(14);
     expect(fixtures.getStarts(site, later)).toHaveLength(3);
@@ -213,7 +213,7 @@
     await site.clock.advance(20_000);
     site.close();
     expect(sent.filter(({ call, isDown }) => call === "start" && isDown)).toEqual([]);
-    expect(sent.filter(({ call, isDown }) => call === "look" && isDown).length).toBeGreaterThan(0);
+    expect(sent.filter(({ call, isDown }) => call === "poll" && isDown).length).toBeGreaterThan(0);
     expect(fixtures.getStarts(site, job)).toHaveLength(2);
-    expect(site.workers.doneCounts.size).toBe(1);
+    expect(site.workers.completionCounts.size).toBe(1);
 });
--- a/src/scheduler/__tests__/endsAfterLeaseExpiry.test.ts
+++ b/src/scheduler/__tests__/endsAfterLeaseExpiry.test.ts
@@ -24,7 +24,7 @@
         expect(fixtures.getStarts(site, short)).toHaveLength(1);
         expect(await fixtures.advanceUntilSettled(site.clock, site.getState(short.jobId, 1)))
             .toEqual({ kind: "state", state: "completed" });
-        expect(site.workers.breaches).toEqual([]);
+        expect(site.workers.violations).toEqual([]);
         site.close();
     });
 
@@ -62,7 +62,7 @@
         await site.clock.advance(30_000);
         expect(await fixtures.advanceUntilSettled(site.clock, site.getState(job.jobId, 1)))
             .toEqual({ kind: "state", state: "completed" });
-        expect(site.workers.breaches).toEqual([]);
+        expect(site.workers.violations).toEqual([]);
         expect(fixtures.getStarts(site, job)).toHaveLength(2 * step.count + 1);
         site.close();
     });
--- a/src/scheduler/__tests__/failingWorkers.test.ts
+++ b/src/scheduler/__tests__/failingWorkers.test.ts
@@ -63,6 +63,6 @@
         const state = await fixtures.advanceUntilSettled(site.clock, site.getState(job.jobId, 1));
         site.close();
         expect(state).toEqual({ kind: "state", state: "failed" });
-        expect(site.workers.breaches).toEqual([]);
+        expect(site.workers.violations).toEqual([]);
     });
 });
--- a/src/scheduler/__tests__/failover.test.ts
+++ b/src/scheduler/__tests__/failover.test.ts
@@ -63,7 +63,7 @@
         await site.clock.advance(5_000);
         site.close();
         expect(fixtures.getStarts(site, job)[0]!.at - LOST_AT_MS).toBeLessThan(maxMs);
-        expect(site.workers.breaches).toEqual([]);
+        expect(site.workers.violations).toEqual([]);
     });
 
     test("keeps leading if no other instance reaches the store, and renews the leases of running tasks", async () => {
@@ -83,7 +83,7 @@
         await site.clock.advance(20_000);
         site.close();
         expect(fixtures.getStarts(site, job)).toHaveLength(1);
-        expect(site.workers.doneCounts.size).toBe(1);
+        expect(site.workers.completionCounts.size).toBe(1);
     });
 });
 
--- a/src/scheduler/__tests__/failures.test.ts
+++ b/src/scheduler/__tests__/failures.test.ts
@@ -263,7 +263,7 @@
             states.push(reply.kind === "state" ? reply.state : reply.kind);
         }
         site.close();
-        expect(site.workers.breaches).toEqual([]);
+        expect(site.workers.violations).toEqual([]);
         expect(states).toEqual(testCase.states ?? testCase.jobs.map(() => "completed"));
     });
 });
--- a/src/scheduler/__tests__/restarts.test.ts
+++ b/src/scheduler/__tests__/restarts.test.ts
@@ -63,7 +63,7 @@
     const site = await openRestartedSite();
     await fixtures.advanceUntilSettled(site.clock, site.submit(job, 1));
     await site.clock.advance(6_000);
-    expect(site.workers.breaches).toEqual([]);
+    expect(site.workers.violations).toEqual([]);
     expect(await fixtures.advanceUntilSettled(site.clock, site.getState(job.jobId, 0))).toMatchObject({ state });
     expect(site.workers.starts.filter(start => start.task === `${job.jobId}.0.0.0`)).toHaveLength(runs);
     site.close();
--- a/src/scheduler/__tests__/scheduler.test.ts
+++ b/src/scheduler/__tests__/scheduler.test.ts
@@ -67,7 +67,7 @@
         const before = fixtures.getStarts(site, job).length;
         await site.clock.advance(10_000);
         expect(fixtures.getStarts(site, job)).toHaveLength(before);
-        expect(site.workers.doneCounts.size).toBe(0);
+        expect(site.workers.completionCounts.size).toBe(0);
         expect(await getJobState(site, job.jobId)).toBe("cancelled");
         site.close();
     });
@@ -95,7 +95,7 @@
         const starts = fixtures.getStarts(site, urgent);
         expect(starts).toHaveLength(2);
         expect(Math.max(...starts.map(start => start.at)) - submittedAt).toBeLessThan(1_500);
-        expect(site.workers.breaches).toEqual([]);
+        expect(site.workers.violations).toEqual([]);
         site.close();
     });
 
--- a/src/scheduler/__tests__/unansweredStarts.test.ts
+++ b/src/scheduler/__tests__/unansweredStarts.test.ts
@@ -26,7 +26,7 @@
             }),
         }, [job]);
         await site.clock.advance(12_000);
-        expect(site.workers.doneCounts.size).toBe(1);
+        expect(site.workers.completionCounts.size).toBe(1);
         expect(fixtures.getStarts(site, job)).toHaveLength(starts);
         site.close();
     });
--- a/src/scheduler/__tests__/unknownService.test.ts
+++ b/src/scheduler/__tests__/unknownService.test.ts
@@ -10,7 +10,7 @@
         workers: 2,
         workerFaults: () => ({
             decide: (worker, call) => {
-                if (call === "look") {
+                if (call === "poll") {
                     polledWorkers.push(worker);
                 }
                 return "none";
@@ -31,7 +31,7 @@
         await fixtures.advanceUntilSettled(site.clock, site.submit(job, 0));
         await site.clock.advance(4_000);
         expect(looked).not.toContain(UNKNOWN_SERVICE_WORKER.id);
-        expect(site.workers.doneCounts.size).toBe(4);
+        expect(site.workers.completionCounts.size).toBe(4);
         expect(site.lines.filter(line => line["event"] === "workerOfUnknownService")).toHaveLength(1);
         site.close();
     });
@@ -54,7 +54,7 @@
         await site.clock.advance(500);
         site.applyCatalog({ ...fixtures.CATALOG, version: 2, services: [] });
         await site.clock.advance(12_000);
-        expect(site.workers.doneCounts.size).toBe(1);
+        expect(site.workers.completionCounts.size).toBe(1);
         expect(site.workers.starts).toHaveLength(1);
         site.close();
     });
--- a/src/scheduler/__tests__/upkeep.test.ts
+++ b/src/scheduler/__tests__/upkeep.test.ts
@@ -122,7 +122,7 @@
             .toEqual(completed.map(wave => `${wave.number} completed`));
         expect(machines!.countUpkeeps()).toBe(completed.flatMap(wave => wave.machines).length);
         expect(machines!.countEndedTasks()).toBe(0);
-        expect(site.workers.breaches).toEqual([]);
+        expect(site.workers.violations).toEqual([]);
         site.close();
     });
 });
--- a/src/scheduler/scheduler.ts
+++ b/src/scheduler/scheduler.ts
@@ -16,7 +16,7 @@
     /** Name of the instance, the same after a restart. */
     readonly instance: string;
     /** Id of this run of the process; differs after each restart. */
-    readonly incarnation: string;
+    readonly incarnationId: string;
     /** CPU time available to this instance, in cores. */
     readonly power: number;
     /** Address on which other instances watch this process; empty if it offers none. */
@@ -74,7 +74,7 @@
     /** Address on which the leader accepts forwarded requests; `undefined` if unknown or if this instance leads. */
     getLeaderAddress(): string | undefined;
     /** Handles handover requests of an instance that can no longer lead. */
-    readonly handover: Pick<leader.Handover, "answer" | "take">;
+    readonly handover: Pick<leader.Handover, "answerOffer" | "acceptHandover">;
     /** Releases the leader lease, so that another instance need not wait for its expiry. */
     release(): Promise<void>;
 }
@@ -122,7 +122,7 @@
         log,
         meter,
         instance: options.instance,
-        incarnationId: options.incarnation,
+        incarnationId: options.incarnationId,
         watchAddress: options.watchAddress,
         peerAddress: options.peerAddress,
         watchHolder: (address, onGone) => {
