--- a/src/decisions/__tests__/referencePlan.ts
+++ b/src/decisions/__tests__/referencePlan.ts
@@ -85,7 +85,7 @@
         const workerIds = referencePlace.place(exclude(unit, types.Occupancy.Stable), input.workers, getFree)
             ?? referencePlace.place(unit, input.workers, getFree);
         if (workerIds) {
-            starts.push({ unit, workerIds: workerIds });
+            starts.push({ unit, workerIds });
             stepTasks.add(unit, workerIds);
             for (const workerId of workerIds) {
                 resources.subtractResources(free.get(workerId)!, unit.needs);
--- a/src/leader/__tests__/jobRegistry.test.ts
+++ b/src/leader/__tests__/jobRegistry.test.ts
@@ -13,13 +13,13 @@
     members.forEach(member =>
         Object.assign(member, { phase: "running", orderedAt: 1, runningSince: 2, lastReportAt: 3 })
     );
-    return { book: registry, members, workers };
+    return { registry, members, workers };
 }
 
 // Guards against a crash that is not counted because another member of the gang was missing from its worker's list.
 test("a gang member that is stopped because another one is missing still counts when its worker is lost", () => {
-    const { book, members, workers } = openRegistryWithGang();
-    book.requestStop(members[0]!, entries.MISSING_RUN_REASON);
+    const { registry, members, workers } = openRegistryWithGang();
+    registry.requestStop(members[0]!, entries.MISSING_RUN_REASON);
     expect(members.map(member => member.phase)).toEqual(["stopping", "stopping"]);
     expect(workers.map(worker => lostRuns.listLostRuns(worker, fixtures.LIST_OPTIONS).length)).toEqual([0, 1]);
 });
--- a/src/leader/__tests__/workerRegistry.test.ts
+++ b/src/leader/__tests__/workerRegistry.test.ts
@@ -11,11 +11,11 @@
 const SECOND = { name: NAME, startedAt: 2_000 };
 const TASK = "job.0.0.0";
 
-function list(bornAt: number): directory.ListedWorker {
+function list(startedAt: number): directory.ListedWorker {
     return {
         ...entries.createUnknownWorkerInfo(""),
         name: NAME,
-        startedAt: bornAt,
+        startedAt,
         address: "a:1",
         service: "booking",
         reportedAt: 0,
--- a/src/leader/bestEffortPacing.ts
+++ b/src/leader/bestEffortPacing.ts
@@ -24,7 +24,7 @@
     for (const task of bestEffortTasks) {
         const percent = decisions.decidePace({
             currentPercent: task.pacePercent ?? 0,
-            tailLatencyRatios: tailLatencyRatios,
+            tailLatencyRatios,
         });
         // The pace is unknown after a takeover, so the decision is always sent.
         const change = task.pacePercent === undefined ? Infinity : Math.abs(percent - task.pacePercent);
--- a/src/leader/lease.ts
+++ b/src/leader/lease.ts
@@ -259,7 +259,7 @@
             token,
             guard: { ...leaseRecord.TOKEN_KEY, version },
             sentAt,
-            predecessorsInactiveAt: predecessorsInactiveAt,
+            predecessorsInactiveAt,
             createRow: leaseMs => {
                 return leaseRecord.encodeRecord(
                     createRecord(token, predecessorsInactiveAt, leaseMs, options.getWaitingCounts()),
@@ -319,7 +319,7 @@
     return {
         getObservation: () => observed,
         isLeading: () => term !== undefined,
-        endTerm: endTerm,
+        endTerm,
         getHandoverOffer: () => term && { holder: options.incarnationId, token: term.leadership.token },
         isRenewalOverdue: () => term?.renewals.isOverdue() ?? false,
         endTermForHandover: () => endTerm("handed over to an instance that reaches the store"),
@@ -335,9 +335,9 @@
             }
             const waiting = options.getWaitingCounts();
             endTerm("this instance stops");
-            const { token, predecessorsInactiveAt: othersSilentAt } = current.leadership;
+            const { token, predecessorsInactiveAt } = current.leadership;
             const record = {
-                ...createRecord(token, othersSilentAt, undefined, waiting),
+                ...createRecord(token, predecessorsInactiveAt, undefined, waiting),
                 holder: "",
                 watchAddress: "",
                 peerAddress: "",
--- a/src/leader/lostRuns.ts
+++ b/src/leader/lostRuns.ts
@@ -38,8 +38,8 @@
 /** Lists the runs that may have been on the worker when it was lost. */
 export function listLostRuns(worker: entries.WorkerEntry, options: ListLostRunsOptions): LostRun[] {
     const {
-        successorSeenAt: successorSeenAt = Infinity,
-        hasNextIncarnation: hasNextIncarnation = false,
+        successorSeenAt = Infinity,
+        hasNextIncarnation = false,
         estimateRunMs,
     } = options;
     return [...worker.tasks].filter(task => mayHaveRun(task, hasNextIncarnation)).map(task => {
