--- a/src/leader/__tests__/crashAttribution.test.ts
+++ b/src/leader/__tests__/crashAttribution.test.ts
@@ -58,7 +58,7 @@
 const CERTAIN: Counts = [1, 1];
 const LIKELY: Counts = [0.5, 1];
 const POSSIBLE: Counts = [0, 1];
-/** For a run whose start was charged before. */
+/** Counts of a run whose start was charged before. */
 const LIKELY_CHARGED: Counts = [0.5, 0];
 const NOTHING: Counts = [0, 0];
 
@@ -231,7 +231,7 @@
     },
 ];
 
-// Guards against tasks that crash their workers without being given up, and against blaming healthy ones.
+// Guards against tasks that crash their workers without ever failing, and against crashes attributed to healthy tasks.
 describe("the loss of a worker is attributed to a run", () => {
     test.each(cases)(
         "$name",
--- a/src/leader/__tests__/lease.test.ts
+++ b/src/leader/__tests__/lease.test.ts
@@ -49,16 +49,16 @@
     // connections and refuses new ones, which looks like the exit of the holder's process. An instance must drop that
     // report when it sees the holder renew the lease.
     test.each([
-        { name: "and was told that the holder has exited does not replace a holder that renews", tellsGone: true },
-        { name: "and was told nothing does not replace it either", tellsGone: false },
-    ])("$name", async ({ tellsGone }) => {
+        { name: "with a report that the holder has exited does not replace a holder that renews", reportsExit: true },
+        { name: "without such a report does not replace it either", reportsExit: false },
+    ])("$name", async ({ reportsExit }) => {
         const site = openInstances(
             ["first", "second"],
             (caller, now) => caller === "second" && now >= CUT_FROM_MS && now < CUT_UNTIL_MS,
         );
         await site.clock.advance(CUT_FROM_MS + 100);
         expect(site.terms).toEqual(["first"]);
-        if (tellsGone) {
+        if (reportsExit) {
             site.reportExit("second");
         }
         await site.clock.advance(CUT_UNTIL_MS);
--- a/src/leader/__tests__/renewals.test.ts
+++ b/src/leader/__tests__/renewals.test.ts
@@ -45,7 +45,7 @@
         expect(renewals.getMsUntilDue()).toBe(500);
     });
 
-    test("are not combined with a write that has no room for them", async () => {
+    test("are not combined with a write that already has the maximum number of entries", async () => {
         const { clock, calls, store, renewals } = openRenewals();
         await clock.advance(500);
         const puts = Array.from({ length: 99 }, (_, number) => ({ ...TOKEN, key: String(number), value: "" }));
@@ -73,7 +73,7 @@
     const cases = [
         { name: "for the normal time at a store that answers at once", answersAfterMs: 10, leaseMs: 1_600 },
         { name: "longer by two answer times at a slow store", answersAfterMs: 400, leaseMs: 2_400 },
-        { name: "for four seconds at most", answersAfterMs: 3_000, leaseMs: 4_000 },
+        { name: "for at most four seconds", answersAfterMs: 3_000, leaseMs: 4_000 },
     ];
     test.each(cases)("ask for a lease that lasts $name", async ({ answersAfterMs, leaseMs }) => {
         const { clock, calls, store, renewals, getLeaseMs } = openRenewals();
--- a/src/leader/__tests__/thrownAway.test.ts
+++ b/src/leader/__tests__/thrownAway.test.ts
@@ -48,7 +48,7 @@
     },
 ];
 
-describe("work thrown away", () => {
+describe("thrown-away work", () => {
     test.each(cases)("of a run counts $name", ({ orderedAt, runningSince, savedAt, coreSeconds }) => {
         const [task] = createTasks(1);
         Object.assign(task!, { orderedAt, runningSince, savedAt });
--- a/src/leader/__tests__/upkeepRows.test.ts
+++ b/src/leader/__tests__/upkeepRows.test.ts
@@ -23,7 +23,7 @@
 }
 
 describe("the stored orders of a wave", () => {
-    // Guards against a wave that does not proceed because it has more machines than one row has room for: all of its
+    // Guards against a wave that does not proceed because it has more machines than fit into one row: all of its
     // orders were in one row, which the store refused.
     test.each([0, 1, 33, 877, 4_800])(
         "of %d machines are read as they were written, and no row exceeds the limit",
--- a/src/leader/__tests__/waitingCounts.test.ts
+++ b/src/leader/__tests__/waitingCounts.test.ts
@@ -17,12 +17,12 @@
 }
 
 describe("counts of waiting jobs", () => {
-    const room = Math.floor(waitingCounts.MAX_COUNTS_BYTES / ENTRY_BYTES);
+    const maxQueues = Math.floor(waitingCounts.MAX_COUNTS_BYTES / ENTRY_BYTES);
     const cases: ReadonlyArray<readonly [name: string, queues: number, counted: number]> = [
         ["of no queue", 0, 0],
-        ["of as many queues as there is room for", room, room],
-        ["of one queue more", room + 1, room],
-        ["of the queues of a large site", 20_000, room],
+        ["of as many queues as fit", maxQueues, maxQueues],
+        ["of one queue more", maxQueues + 1, maxQueues],
+        ["of the queues of a large site", 20_000, maxQueues],
     ];
     test.each(cases)("%s", (_name, queues, counted) => {
         const fitted = waitingCounts.truncateCounts(createCounts(queues));
--- a/src/leader/__tests__/workerSession.test.ts
+++ b/src/leader/__tests__/workerSession.test.ts
@@ -79,10 +79,14 @@
     });
 });
 
-/** Opens a session with a worker that a test can restart; `forgotten` holds the ends that were acknowledged to it. */
+/** Opens a session with a worker that a test can restart; `acknowledged` has its acknowledged ends. */
 async function openRestartable() {
     const time = clocks.createManualClock();
-    const begin = (startedAt: number) => ({ startedAt, ends: [] as port.TaskEnd[], forgotten: [] as port.TaskEnd[] });
+    const begin = (startedAt: number) => ({
+        startedAt,
+        ends: [] as port.TaskEnd[],
+        acknowledged: [] as port.TaskEnd[],
+    });
     const worker = { incarnation: begin(FIRST_STARTED_AT) };
     const nextIncarnations: Array<{ startedAt: number; pollResult: workerSession.PollResult; }> = [];
     const taken: port.TaskEnd[] = [];
@@ -95,7 +99,7 @@
             pace: accepted,
             poll: async (_worker, { recordedUpTo, waitMs }) => {
                 const { incarnation } = worker;
-                incarnation.forgotten.push(...incarnation.ends.filter(end => end.number <= recordedUpTo));
+                incarnation.acknowledged.push(...incarnation.ends.filter(end => end.number <= recordedUpTo));
                 incarnation.ends = incarnation.ends.filter(end => end.number > recordedUpTo);
                 if (incarnation.ends.length === 0) {
                     await time.sleep(waitMs);
@@ -131,7 +135,7 @@
         end(1);
         await time.advance(1_500);
         expect(taken).toHaveLength(1);
-        expect(worker.incarnation.forgotten).toHaveLength(1);
+        expect(worker.incarnation.acknowledged).toHaveLength(1);
         session.close();
     });
 
@@ -147,7 +151,7 @@
         end(1);
         await time.advance(3_000);
         expect(taken).toHaveLength(3);
-        expect(incarnation.forgotten).toEqual([]);
+        expect(incarnation.acknowledged).toEqual([]);
         expect(nextIncarnations).toMatchObject([{ startedAt: incarnation.startedAt }]);
         session.close();
     });
--- a/src/leader/advice.ts
+++ b/src/leader/advice.ts
@@ -101,9 +101,9 @@
     let members = 0;
     for (const worker of placeable) {
         if (unit.allowedWorkerIds!.has(worker.id) && !unit.excludedWorkerIds.has(worker.id)) {
-            const room = decisions.copyResources(worker.info.capacity);
-            decisions.subtractResources(room, worker.used);
-            members += decisions.countFits(room, unit.needs);
+            const free = decisions.copyResources(worker.info.capacity);
+            decisions.subtractResources(free, worker.used);
+            members += decisions.countFits(free, unit.needs);
         }
     }
     return members >= unit.count;
--- a/src/leader/crashAttribution.ts
+++ b/src/leader/crashAttribution.ts
@@ -13,11 +13,11 @@
 
 /** Workers that become unreachable within this time may share a cause: a poll waits up to 2 s. */
 const LOST_TOGETHER_MS = 2_500;
-/** With this many other workers unreachable the crash is not certainly caused by a task. */
+/** If this many other workers are unreachable, the crash is not certainly caused by a task. */
 const MIN_OTHERS_UNREACHABLE = 2;
 /** Workers of a rack that restart within this time crashed with it: an unreachable one is polled every 0.75 s. */
 const RESTARTED_TOGETHER_MS = 1_000;
-/** With this many other workers of the rack restarted at the same time, the rack is the cause. */
+/** If this many other workers of the rack restarted at the same time, the rack is the cause. */
 const MIN_OTHERS_RESTARTED = 3;
 /** A loss is attributed again after this time, when the directory lists the restarts of idle workers too. */
 const REVIEW_DELAY_MS = 2_000;
@@ -45,7 +45,7 @@
     /** Expected duration of a run of the step's tasks, in milliseconds. */
     estimateRunMs(step: entries.StepEntry): number;
     /**
-     * Called for each task of a loss after it was attributed again; `hasChanged` tells whether the task's counts
+     * Called for each task of a loss after it was attributed again; `hasChanged` is whether the task's counts
      * changed.
      */
     onReviewed(task: entries.TaskEntry, hasChanged: boolean): void;
@@ -79,7 +79,7 @@
     const losses = new Map<string, WorkerLoss>();
     const lossesByAddress = new Map<string, WorkerLoss>();
     const lastIdByAddress = new Map<string, string>();
-    /** By address: when another worker or incarnation was last found there, and its rack. */
+    /** When another worker or incarnation was last found at each address, and its rack. */
     const restarts = new Map<string, { readonly at: number; readonly rack: string; }>();
 
     const dropExpired = () => {
--- a/src/leader/entries.ts
+++ b/src/leader/entries.ts
@@ -345,7 +345,7 @@
 /** Reason for stopping a run that its worker no longer lists. */
 export const MISSING_RUN_REASON = "missing";
 
-/** Whether the run is gone as far as is known, and is stopped only so that its worker refuses a delayed start order. */
+/** Whether the run seems to have ended, and is stopped only so that its worker refuses a delayed start order. */
 export function isClosing(task: TaskEntry): boolean {
     return task.phase === "stopping" && task.stopReason === MISSING_RUN_REASON;
 }
--- a/src/leader/guarantees.ts
+++ b/src/leader/guarantees.ts
@@ -18,7 +18,7 @@
             continue;
         }
         const { account } = job.submission;
-        const used = (usedByAccount.get(account) ?? 0) + getMostAccelerators(job);
+        const used = (usedByAccount.get(account) ?? 0) + getMaxAccelerators(job);
         usedByAccount.set(account, used);
         if (used <= (getAccount(account)?.guaranteedAccelerators ?? 0)) {
             guaranteed.add(job);
@@ -27,9 +27,9 @@
     return guaranteed;
 }
 
-function getMostAccelerators(job: entries.JobEntry): number {
+function getMaxAccelerators(job: entries.JobEntry): number {
     return job.submission.spec.steps.reduce(
-        (most, step) => Math.max(most, step.count * step.needs.accelerators),
+        (max, step) => Math.max(max, step.count * step.needs.accelerators),
         0,
     );
 }
--- a/src/leader/jobRegistry.ts
+++ b/src/leader/jobRegistry.ts
@@ -1,6 +1,6 @@
 /**
  * The leader's in-memory state of jobs and tasks, and all transitions of it. The registry sends no orders to workers:
- * it tells its listener which tasks must be stopped and which rows must be written.
+ * it notifies its listener of the tasks to stop and the rows to write.
  */
 import type * as catalog from "../catalog/index";
 import type * as clock from "../clock/index";
--- a/src/leader/lease.ts
+++ b/src/leader/lease.ts
@@ -35,7 +35,7 @@
     readonly watchAddress: string;
     /** Address at which this instance accepts forwarded requests; empty if it accepts none. */
     readonly peerAddress: string;
-    /** Watches the holder's process; `onGone` is called when it is certain to have exited. */
+    /** Watches the holder's process; `onExit` is called when it is certain to have exited. */
     watchHolder(address: string, onExit: () => void): holderMonitor.ProcessWatch;
     /** Processor time available to this instance, in cores. */
     readonly power: number;
@@ -70,7 +70,7 @@
 const RENEWAL_GRACE_MS = 1_200;
 /** An instance with this many times the holder's processor time takes over. */
 const TAKEOVER_POWER_RATIO = 2;
-/** It must have reached the store for this long: not right after a start or an outage. */
+/** Such an instance must have reached the store for this long: none takes over right after a start or an outage. */
 const MIN_STABLE_MS = 3_000;
 /** An instance with a whole core takes the lease at once; one with a third of a core waits 0.3 s for others. */
 const STRONG_CORES = 1;
--- a/src/leader/slowWorkers.ts
+++ b/src/leader/slowWorkers.ts
@@ -50,7 +50,7 @@
     }
 }
 
-/** Whether moving the task pays; a gang is moved as a whole and takes its checkpoints as a whole. */
+/** Whether moving the task is worthwhile; a gang is moved as a whole and takes its checkpoints as a whole. */
 function paysToMove(task: entries.TaskEntry, times: decisions.MoveTimes, options: SlowWorkerOptions): boolean {
     const { step } = task;
     if (step.spec.checkpoints) {
--- a/src/leader/stalledSteps.ts
+++ b/src/leader/stalledSteps.ts
@@ -48,9 +48,9 @@
         && (unit.requiredLabel === undefined || info.labels.includes(unit.requiredLabel))
     );
     const withRoom = allowed.filter(worker => {
-        const room = decisions.copyResources(worker.info.capacity);
-        decisions.subtractResources(room, worker.used);
-        return decisions.countFits(room, unit.needs) > 0;
+        const free = decisions.copyResources(worker.info.capacity);
+        decisions.subtractResources(free, worker.used);
+        return decisions.countFits(free, unit.needs) > 0;
     });
     return {
         workers: ofService.length,
--- a/src/leader/term.ts
+++ b/src/leader/term.ts
@@ -71,9 +71,9 @@
 const PASS_DELAY_MS = 4;
 /** Interval of passes without events, for waits that expire. */
 const IDLE_PASS_MS = 250;
-/** Short compared with the seconds after which an unlisted worker is removed. */
+/** Interval of directory checks; short compared with the seconds after which an unlisted worker is removed. */
 const DIRECTORY_CHECK_MS = 600;
-/** Interval of the log lines on thrown away work and on stalled steps. */
+/** Interval of the log lines on thrown-away work and on stalled steps. */
 const SUMMARY_INTERVAL_MS = 2_000;
 /** Longest time for which a worker holds a poll open. */
 const MAX_POLL_WAIT_MS = 2_000;
--- a/src/leader/thrownAway.ts
+++ b/src/leader/thrownAway.ts
@@ -7,7 +7,7 @@
 import * as decisions from "../decisions/index";
 import * as entries from "./entries";
 
-/** Totals of thrown away work, in core-seconds. */
+/** Totals of thrown-away work, in core-seconds. */
 export interface ThrownAwayWork {
     /** Adds a run that ended without success; `cause` is why it was stopped, or how it ended. Returns core-seconds. */
     addRun(task: entries.TaskEntry, cause: string, now: number): number;
--- a/src/leader/units.ts
+++ b/src/leader/units.ts
@@ -76,7 +76,7 @@
     const { job } = step.occurrence;
     const waitedMs = options.now - Math.max(step.readySince ?? options.now, firstTask.waitingSince);
     const stepName = getStepName(step);
-    const mayCrashWorker = waitedMs < ISOLATION_PATIENCE_MS && !options.policy.disabledMechanisms.has("isolation")
+    const mayCrashWorker = waitedMs < ISOLATION_MAX_WAIT_MS && !options.policy.disabledMechanisms.has("isolation")
         && tasks.some(task => crashHistory.isSuspect(task.crashes));
     return {
         key: firstTask.name,
@@ -95,18 +95,18 @@
         latencySensitive: spec.targetMs > 0,
         bestEffort: spec.fills,
         mayCrashWorker,
-        excludedWorkerIds: waitedMs < OTHER_WORKER_PATIENCE_MS ? getFailedWorkerIds(tasks) : NO_WORKERS,
+        excludedWorkerIds: waitedMs < OTHER_WORKER_MAX_WAIT_MS ? getFailedWorkerIds(tasks) : NO_WORKERS,
         allowedWorkerIds: job.queue.advice ? getTicketedWorkerIds(step, options.now) : undefined,
         waitedMs,
         expectedDurationMs: options.estimateRunMs(step),
     };
 }
 
-/** Wait after which a task that may crash its worker is placed on any worker with room. */
-const ISOLATION_PATIENCE_MS = 2_000;
+/** Wait after which a task that may crash its worker is placed on any worker where it fits. */
+const ISOLATION_MAX_WAIT_MS = 2_000;
 
-/** Wait after which a failed task is placed on any worker: it may have failed on each that has room for it. */
-const OTHER_WORKER_PATIENCE_MS = 2_000;
+/** Wait after which a failed task is placed on any worker: it may have failed on each where it fits. */
+const OTHER_WORKER_MAX_WAIT_MS = 2_000;
 const NO_WORKERS: ReadonlySet<string> = new Set();
 
 function getFailedWorkerIds(tasks: readonly entries.TaskEntry[]): ReadonlySet<string> {
@@ -300,11 +300,11 @@
         releasing: freeing,
         latencySensitiveTasks: serving,
         bestEffortTasks: filling,
-        occupancy: getCompany(worker),
+        occupancy: getOccupancy(worker),
     };
 }
 
-function getCompany(worker: entries.WorkerEntry): decisions.Occupancy {
+function getOccupancy(worker: entries.WorkerEntry): decisions.Occupancy {
     for (const task of worker.tasks) {
         if (suspects.isUnsettled(task)) {
             return decisions.Occupancy.RecentStart;
--- a/src/leader/upkeep.ts
+++ b/src/leader/upkeep.ts
@@ -134,7 +134,7 @@
             machine: id,
             worker: workerName,
             tasks,
-            patienceMs: Math.round(getPatienceMs(options, current)),
+            patienceMs: Math.round(getMaxDrainMs(options, current)),
         });
     }
 }
@@ -155,7 +155,7 @@
 }
 
 /** Returns how long tasks may continue on a machine that is being drained, so that the wave still ends in time. */
-function getPatienceMs(options: UpkeepOptions, { wave, knownAt, stages }: RunningWave): number {
+function getMaxDrainMs(options: UpkeepOptions, { wave, knownAt, stages }: RunningWave): number {
     const left = [...stages.values()].filter(stage => stage.kind === "pending" || stage.kind === "draining").length;
     const rounds = Math.max(1, Math.ceil(left / wave.maxCount));
     const leftMs = wave.withinMs - (options.clock.now() - knownAt);
@@ -172,9 +172,9 @@
     if (!worker || worker.tasks.size === 0) {
         return true;
     }
-    const isPatienceOver = stage.kind === "ordered"
-        || options.clock.now() - stage.since >= getPatienceMs(options, current);
-    stopTasks(options, worker, isPatienceOver);
+    const isDrainOverdue = stage.kind === "ordered"
+        || options.clock.now() - stage.since >= getMaxDrainMs(options, current);
+    stopTasks(options, worker, isDrainOverdue);
     return false;
 }
 
@@ -225,10 +225,10 @@
 }
 
 /** Stops lasting tasks first, as many as their step may miss, since they never end by themselves. */
-function stopTasks(options: UpkeepOptions, worker: entries.WorkerEntry, patienceOver: boolean): void {
+function stopTasks(options: UpkeepOptions, worker: entries.WorkerEntry, isDrainOverdue: boolean): void {
     for (const task of worker.tasks) {
         const { spec } = task.step;
-        if (spec.lasting ? mayMissOneMore(task.step) : patienceOver) {
+        if (spec.lasting ? mayMissOneMore(task.step) : isDrainOverdue) {
             options.jobRegistry.requestStop(task, "upkeep");
         }
     }
--- a/src/leader/upkeepRows.ts
+++ b/src/leader/upkeepRows.ts
@@ -20,7 +20,7 @@
 const TABLE = "upkeep";
 /**
  * A machine takes 56 bytes, and the store refuses rows of more than 49,152 bytes before base64: with all orders in one
- * row, a wave of more than 877 machines could not proceed. 200 machines take 11 kB, which leaves room for longer names;
+ * row, a wave of more than 877 machines could not proceed. 200 machines take 11 kB, which allows for longer names;
  * the 99 rows that fit into a transaction beside its guard hold 19,800 machines.
  */
 const MACHINES_PER_ROW = 200;
@@ -84,7 +84,7 @@
     return ordered;
 }
 
-/** `N`, `N.1`, `N.2` and so on. */
+/** Returns the key of a row: `N`, `N.1`, `N.2` and so on. */
 function getKey(wave: number, row: number): string {
     return row === 0 ? String(wave) : `${wave}.${row}`;
 }
--- a/src/leader/upkeepStages.ts
+++ b/src/leader/upkeepStages.ts
@@ -61,12 +61,12 @@
     if (!machine.up) {
         return stage;
     }
-    const isNewLife = machine.workerName !== stage.workerName;
+    const isNextIncarnation = machine.workerName !== stage.workerName;
     if (stage.confirmedAt === undefined) {
         // The worker may have crashed before the order arrived: the order must not kill tasks of its new incarnation.
-        return isNewLife ? { kind: "draining", workerName: machine.workerName, since: now } : stage;
+        return isNextIncarnation ? { kind: "draining", workerName: machine.workerName, since: now } : stage;
     }
-    return isNewLife || now - stage.confirmedAt > longestMs ? { kind: "done" } : stage;
+    return isNextIncarnation || now - stage.confirmedAt > longestMs ? { kind: "done" } : stage;
 }
 
 /** Counts the machines of the wave that are down for upkeep, or are being drained or ordered down. */
@@ -79,7 +79,7 @@
     return count;
 }
 
-/** Returns whether every machine of the wave is done or gone. */
+/** Returns whether every machine of the wave is done, or no longer part of the wave. */
 export function isComplete(stages: ReadonlyMap<string, MachineStage>): boolean {
     return [...stages.values()].every(stage => stage.kind === "done" || stage.kind === "gone");
 }
--- a/src/leader/workerLosses.ts
+++ b/src/leader/workerLosses.ts
@@ -16,7 +16,7 @@
     getWorkers(): Iterable<entries.WorkerEntry>;
     /** Expected duration of a run of the step's tasks, in milliseconds. */
     estimateRunMs(step: entries.StepEntry): number;
-    /** Counts the unsaved work of the run as thrown away. */
+    /** Adds the unsaved work of the run to the thrown-away work. */
     countThrownAway(task: entries.TaskEntry, cause: string): void;
     /** Returns the task to the waiting ones. */
     requeue(task: entries.TaskEntry): void;
--- a/src/leader/workerPort.ts
+++ b/src/leader/workerPort.ts
@@ -54,7 +54,7 @@
     | { readonly kind: "refused"; readonly reason: RefusalReason; readonly workerClock: number | undefined; }
     /** The worker is overloaded or unhealthy and did nothing. */
     | { readonly kind: "unwell"; }
-    /** The addressed worker is gone: another one answers at the address, and did nothing. */
+    /** The addressed incarnation has ended: another one answers at the address, and did nothing. */
     | { readonly kind: "otherLife"; }
     /** No connection was established, so the order was not sent. */
     | { readonly kind: "unreachable"; readonly message: string; }
--- a/src/leader/workerSession.ts
+++ b/src/leader/workerSession.ts
@@ -201,7 +201,7 @@
         }
         lastAnsweredPollAt = Math.max(lastAnsweredPollAt, sentAt);
         if (!hasAcceptedToken) {
-            // From now on the worker refuses earlier leaders, so only this leader's grants count.
+            // The worker now refuses earlier leaders, so only this leader's grants count.
             hasAcceptedToken = true;
             expiresAt = leaseExpiry.getExpiresAt(time.now(), options.maxLeaseMs);
         }
