--- a/src/decisions/__tests__/plan.test.ts
+++ b/src/decisions/__tests__/plan.test.ts
@@ -22,7 +22,7 @@
  * could hold the gang, is full while the rest of the site is free. Happens if the wait for a better placement depends
  * only on the expected duration of the task.
  */
-function createPatienceCases(): Case[] {
+function createWaitCases(): Case[] {
     const patient = { expectedDurationMs: 20_000 };
     const near = { ...patient, dataRack: "r1" };
     const gang = { ...patient, gang: true, sameRack: true, count: 2, needs: WHOLE_WORKER };
@@ -230,7 +230,7 @@
         groups: [fixtures.createGroup("g", "w1")],
         starts: {},
     },
-    ...createPatienceCases(),
+    ...createWaitCases(),
     {
         name: "guaranteed work is never preempted, and work without a tier preempts nothing",
         workers: [fixtures.createWorker("w1", { used: FULL })],
--- a/src/decisions/fleet.ts
+++ b/src/decisions/fleet.ts
@@ -36,7 +36,7 @@
 export interface Pool {
     /** Whether less than half of the cores and less than half of the accelerators were in use when the pass began. */
     isMostlyFree(): boolean;
-    /** By rack name. */
+    /** Racks by their name. */
     readonly racks: ReadonlyMap<string, Rack>;
     /** Hosts that may fit such a member, the fullest first. May include a few that do not fit. */
     iterateFullestFirst(needs: work.Resources): Iterable<Host>;
--- a/src/decisions/policy.ts
+++ b/src/decisions/policy.ts
@@ -22,7 +22,7 @@
 
 /** Policies by name. Instances use `worth`; the others are baselines for experiments. */
 export const POLICIES = {
-    /** By lateness class, then priority, then slack. */
+    /** Orders by lateness class, then priority, then slack. */
     worth: { compare: order.compareUrgency, getStopCost, disabledMechanisms },
     /** The same order, but a stop costs only the thrown-away work. */
     lossOnly: {
--- a/src/decisions/prediction.ts
+++ b/src/decisions/prediction.ts
@@ -10,7 +10,7 @@
 
 /** Weight of the latest run: about twenty runs dominate, which a busy queue has within half a minute. */
 const LATEST_WEIGHT = 0.08;
-/** Runs off by a larger factor are ignored: tasks that hang, or take three times as long away from their data. */
+/** Runs off by a larger factor are ignored: hanging tasks, or ones on another rack than their data. */
 const MAX_ERROR_FACTOR = 3;
 /** Used if the caller gives no estimate. */
 const DEFAULT_ESTIMATE_MS = 5_000;
--- a/src/emulator/__tests__/chaos.test.ts
+++ b/src/emulator/__tests__/chaos.test.ts
@@ -35,7 +35,7 @@
     [642804, "a member of a gang that was stopped because another was missing counted as missing too"],
     [691322, "an unanswered start was hardly counted, although its worker had just answered"],
     [693455, "leaders were lost during three runs of a gang, and one loss was attributed to the rack"],
-    [694167, "confirmed runs were gone when their workers came back as other incarnations"],
+    [694167, "confirmed runs were missing when their workers came back as other incarnations"],
 ];
 /** Seeds that failed once with workers that restart under their ids, with the fault that they guard against. */
 const RESTART_SEEDS: ReadonlyArray<readonly [seed: number, cause: string]> = [
--- a/src/emulator/chaos.ts
+++ b/src/emulator/chaos.ts
@@ -38,8 +38,8 @@
 const STEP_MS = 50;
 /**
  * Time after the faults within which the tasks of cancelled jobs must have stopped. The last order may be carried out
- * 6.3 s late, a new leader is elected within 2 s, and a worker that was unreachable answers and is told to stop within
- * another 2 s.
+ * 6.3 s late, a new leader is elected within 2 s, and a worker that was unreachable answers and gets its stop orders
+ * within another 2 s.
  */
 const MAX_STOP_MS = 10_000;
 
--- a/src/emulator/workerOrders.ts
+++ b/src/emulator/workerOrders.ts
@@ -13,7 +13,7 @@
     | "late"
     /** The worker is unreachable. */
     | "cut"
-    /** The worker answers that it is unwell, and does nothing. */
+    /** The worker answers that it is overloaded or unhealthy, and does nothing. */
     | "unwell";
 
 /** Faults of emulated workers. */
--- a/src/explain/timeline.ts
+++ b/src/explain/timeline.ts
@@ -29,7 +29,7 @@
     | {
         readonly kind: "completed";
         readonly ageMs: number;
-        /** From the acceptance to the first placement; absent if a line is missing. */
+        /** Time from the acceptance to the first placement; absent if a line is missing. */
         readonly waitedMs: number | undefined;
         /** Number of runs that ended early, by reason. */
         readonly setbacks: Readonly<Record<string, number>>;
--- a/src/scheduler/__tests__/capacity.test.ts
+++ b/src/scheduler/__tests__/capacity.test.ts
@@ -68,7 +68,7 @@
     });
 });
 
-// Guards against overload while tasks stop: once they no longer count, other tasks are placed in their room too early.
+// Guards against overload while tasks stop: if they no longer count, other tasks are placed on the worker too early.
 test("tasks being stopped on a worker that has shrunk still count towards its load", async () => {
     const site = fixtures.openSite({ workers: 1 });
     await site.clock.advance(1_000);
--- a/src/scheduler/scheduler.ts
+++ b/src/scheduler/scheduler.ts
@@ -23,8 +23,8 @@
     readonly watchAddress: string;
     /** Address on which this instance accepts forwarded requests; empty if it accepts none. */
     readonly peerAddress: string;
-    /** Watches another instance's process. Calls `onGone` once it has certainly ended. */
-    watchProcess(address: string, onGone: () => void): leader.ProcessWatch;
+    /** Watches another instance's process. Calls `onExit` once it has certainly ended. */
+    watchProcess(address: string, onExit: () => void): leader.ProcessWatch;
     readonly handover: leader.HandoverPort;
     readonly store: rows.RowStore;
     readonly directory: leader.WorkerDirectory;
@@ -125,8 +125,8 @@
         incarnationId: options.incarnationId,
         watchAddress: options.watchAddress,
         peerAddress: options.peerAddress,
-        watchHolder: (address, onGone) => {
-            const watch = options.watchProcess(address, onGone);
+        watchHolder: (address, onExit) => {
+            const watch = options.watchProcess(address, onExit);
             return disabledMechanisms.has("heartbeats") ? { ...watch, getHeartbeatAgeMs: () => undefined } : watch;
         },
         signal: options.signal,
--- a/src/telemetry/__tests__/telemetry.test.ts
+++ b/src/telemetry/__tests__/telemetry.test.ts
@@ -35,7 +35,7 @@
         });
     });
 
-    test("a burst of lines is cut at the limit, and the next line tells how many were dropped", async () => {
+    test("a burst of lines is cut at the limit, and the next line states how many were dropped", async () => {
         const { time, written, log } = open(() => 0);
         for (let line = 0; line < 5_000; line++) {
             log.info("line");
--- a/src/telemetry/lineLog.ts
+++ b/src/telemetry/lineLog.ts
@@ -3,7 +3,7 @@
  *
  * If the reader of the output stalls, the pipe fills. Without limits a blocking write would then stop the instance, or
  * the buffer would grow until it runs out of memory. Lines over the limit are dropped, and the next line that is
- * written tells how many.
+ * written states how many.
  */
 import type * as clock from "../clock/index";
 import type * as observe from "../observe/index";
--- a/src/work/progress.ts
+++ b/src/work/progress.ts
@@ -2,7 +2,7 @@
  * Stored progress: one row for each job and one for each of its occurrences that has started.
  *
  * A task's run and worker are stored in the row of its occurrence before the start request is sent. So a new leader
- * knows every request that may be in flight, which neither the workers nor its predecessor can tell it.
+ * knows every request that may be in flight, which it cannot learn from the workers or its predecessor.
  */
 
 /** State of a job as reported to callers. */
