--- a/soak/callers.ts
+++ b/soak/callers.ts
@@ -27,7 +27,7 @@
 
 export interface Callers {
     readonly records: readonly violationChecks.JobRecord[];
-    /** Reported states that contradict what the workers had run by then. */
+    /** Reported states that contradict what the workers had run before the report. */
     readonly violations: readonly string[];
     /** Submits jobs at this average rate until the signal is aborted. */
     run(perSecond: number, signal: AbortSignal): Promise<void>;
--- a/soak/operator.ts
+++ b/soak/operator.ts
@@ -56,7 +56,7 @@
         acknowledgedAt.set(version, time.now());
     };
     writeConfiguration();
-    /** Whether the instance serves the marker queue of this version; `undefined` if the reply does not tell. */
+    /** Whether the instance serves the marker queue of this version; `undefined` if the reply does not state it. */
     const servesVersion = async (instance: number, polledVersion: number) => {
         const reply = await client.countWaiting(
             site.instances[instance]!.callerAddress,
--- a/src/calls/callTimeout.ts
+++ b/src/calls/callTimeout.ts
@@ -9,9 +9,9 @@
 
 /** Timeouts of one call, in milliseconds. */
 export interface CallTimeouts {
-    /** From the call to the end of the answer; with `totalTimeoutMs`, to its first byte and between its chunks. */
+    /** Maximum time to the end of the answer; with `totalTimeoutMs`, to its first byte and between its chunks. */
     readonly timeoutMs: number;
-    /** From the call to the end of an answer that keeps arriving. */
+    /** Maximum time from the call to the end of an answer that keeps arriving. */
     readonly totalTimeoutMs?: number;
 }
 
--- a/src/calls/httpClient.ts
+++ b/src/calls/httpClient.ts
@@ -1,6 +1,6 @@
 /**
  * HTTP client for the platform, workers and other instances: keep-alive connections, a timeout for each call, and a
- * typed outcome that tells whether the call may have been carried out.
+ * typed outcome that states whether the call may have been carried out.
  */
 import * as http from "node:http";
 import * as callTimeout from "./callTimeout";
@@ -121,7 +121,7 @@
     });
 }
 
-/** Error message of a timeout; tells a silent server from one whose answer was still arriving. */
+/** Error message of a timeout; distinguishes a silent server from one whose answer was still arriving. */
 function describeTimeout(afterMs: number, receivedBytes: number): string {
     const ms = Math.round(afterMs);
     return receivedBytes === 0
--- a/src/catalog/freshness.ts
+++ b/src/catalog/freshness.ts
@@ -22,7 +22,7 @@
     getMaxAgeMs(): number;
 }
 
-/** Tells whether the configuration may be used. */
+/** Whether the configuration may be used. */
 export interface Freshness {
     isFresh(): boolean;
 }
--- a/src/intake/__tests__/intake.test.ts
+++ b/src/intake/__tests__/intake.test.ts
@@ -123,7 +123,7 @@
         },
         {
             // Guards against callers that wait 2.9 s for an undecided outcome while other instances could serve them:
-            // the store resets connections, and a write without an answer is repeated in vain until the deadline.
+            // the store resets connections, and a write without an answer is repeated to no effect until the deadline.
             name: "is undecided at once if the store becomes unreachable during its write",
             decide: call => call === 0 ? "loseAnswer" : "refuse",
             unreachableAfterCalls: 1,
@@ -196,7 +196,7 @@
 
     test.each([
         ["is zero for a queue without a count if the leader published the counts of all queues", true, 0],
-        ["is taken from the rows if the published counts had no room for the queue", false, 1],
+        ["is taken from the rows if the published counts omit the queue", false, 1],
     ])("%s", async (_name, complete, expected) => {
         const opened = open({ counts: { counts: { other: 9 }, complete } });
         await opened.submit();
--- a/src/intake/intake.ts
+++ b/src/intake/intake.ts
@@ -65,7 +65,7 @@
 /** Timeout of one write, which normally takes 5 ms; `LATENCY_FACTOR` times the store's current latency is added. */
 const CALL_TIMEOUT_MS = 900;
 const LATENCY_FACTOR = 2;
-/** Shorter than for writes, since a read can be retried without side effects. */
+/** Timeout of one read; shorter than for writes, since a read can be retried without side effects. */
 const READ_TIMEOUT_MS = 500;
 const MIN_TIMEOUT_MS = 50;
 /** The store counts as reachable for this long after an answer: a failure so soon is rare, as an answer takes 5 ms. */
@@ -75,7 +75,7 @@
 const REPLY_MARGIN_MS = 150;
 /** After this many refusals or failed reads the caller gets a reply, since another instance may serve it. */
 const MAX_REFUSALS = 3;
-/** A refused caller comes back after this time, by when most short outages are over. */
+/** Time after which a refused caller retries; most short outages are shorter. */
 const RETRY_AFTER_MS = 1_000;
 /** Published counts older than this are not used; the rows are counted instead. */
 const MAX_COUNTS_AGE_MS = 2_000;
--- a/src/relay/__tests__/relay.test.ts
+++ b/src/relay/__tests__/relay.test.ts
@@ -160,7 +160,7 @@
             handled: false,
         },
         {
-            // Guards against a job that runs although its caller was told that it is not accepted: the peer stores it,
+            // Guards against a job that runs although the reply says that it is not accepted: the peer stores it,
             // its answer is lost, and this instance treats the silence as a refusal.
             name: "is undecided if a peer that may have carried it out is silent",
             storeUnreachable: true,
@@ -188,7 +188,7 @@
             handled: true,
         },
         {
-            // Guards against a job that runs although its caller was told that it is not accepted: the refusal of a
+            // Guards against a job that runs although the reply says that it is not accepted: the refusal of a
             // peer does not cover the write that this instance has sent.
             name: "stays undecided if it was undecided here and a peer refuses it",
             here: undecided,
--- a/src/relay/relay.ts
+++ b/src/relay/relay.ts
@@ -58,9 +58,9 @@
 const PEER_TIMEOUT_MS = 700;
 /** Shorter than the timeout: a peer that has just lost the store refuses before it, and the outcome is known. */
 const PEER_DEADLINE_MS = 600;
-/** With less time left a peer's reply would not reach the caller before its deadline. */
+/** Minimum time left for a forwarded request: with less, a peer's reply would miss the caller's deadline. */
 const MIN_TIMEOUT_MS = 50;
-/** Backoff for a peer that did not reply: at most one request in this time waits for it in vain. */
+/** Backoff for a peer that did not reply: at most one request in this time waits for its timeout. */
 const SILENT_BACKOFF_MS = 2_000;
 /** Backoff for a peer that cannot serve either, as in a full outage of the store; equals the store's probe interval. */
 const UNABLE_BACKOFF_MS = 200;
--- a/src/relay/replies.ts
+++ b/src/relay/replies.ts
@@ -4,7 +4,7 @@
 /** Statuses without a result: 503 means that nothing was or will be done, 504 leaves the outcome open. */
 export const Status = { Unavailable: 503, Undecided: 504 } as const;
 
-/** The same as after a refusal by the intake: most disturbances are over by then. */
+/** Same as after a refusal by the intake: most disturbances are shorter. */
 const RETRY_AFTER_MS = 1_000;
 
 /** The request was refused because the configuration is stale. */
@@ -21,7 +21,7 @@
     body: { error: "no answer" },
 };
 
-/** Whether a reply tells the outcome of its request. */
+/** Whether a reply states the outcome of its request. */
 export function isDecided({ status }: messages.CallerReply): boolean {
     return status !== Status.Unavailable && status !== Status.Undecided;
 }
--- a/src/rows/followTable.ts
+++ b/src/rows/followTable.ts
@@ -54,7 +54,7 @@
 const READ_IDLE_TIMEOUT_MS = 1_200;
 /** Pause after a failed call: long enough not to overload a store that recovers, short compared with a second. */
 const RETRY_PAUSE_MS = 150;
-/** For this long after a failed call an interval poll uses the shorter pause after failures. */
+/** Time after a failed call in which an interval poll uses the shorter pause after failures. */
 const RECOVERY_POLL_MS = 3_000;
 
 /** Starts to follow a table until the signal is aborted. */
--- a/src/rows/index.ts
+++ b/src/rows/index.ts
@@ -70,7 +70,7 @@
 /** Result of a poll of the change feed. */
 export type FeedResult =
     | { readonly kind: "changes"; readonly rows: readonly RowChange[]; readonly version: number; }
-    /** The history after the requested version is gone: the table must be read whole again. */
+    /** The history after the requested version is no longer kept: the whole table must be read again. */
     | { readonly kind: "gap"; }
     | { readonly kind: "unavailable"; readonly message: string; };
 
--- a/verdict/checkResult.ts
+++ b/verdict/checkResult.ts
@@ -2,7 +2,7 @@
 import * as path from "node:path";
 
 export interface CheckResult {
-    /** For a test its file relative to the root, " › " and its full name; for another check its command. */
+    /** A test is named by its file relative to the root, " › " and its full name; another check by its command. */
     readonly name: string;
     readonly outcome: "passed" | "failed" | "skipped";
 }
