--- a/src/decisions/types.ts
+++ b/src/decisions/types.ts
@@ -95,7 +95,7 @@
     readonly lossCoreSeconds: number;
     /** Total cost of a stop: the thrown-away work and the cost of making the job late. */
     readonly costCoreSeconds: number;
-    /** Set for a lasting task at work whose step may miss only some of its tasks at a time. */
+    /** Set for an available lasting task whose step may miss only some of its tasks at a time. */
     readonly disruptionBudget?: DisruptionBudget;
 }
 
--- a/src/leader/__tests__/bestEffortPacing.test.ts
+++ b/src/leader/__tests__/bestEffortPacing.test.ts
@@ -36,7 +36,7 @@
     },
 ];
 
-describe("pace of fillers", () => {
+describe("pace of best-effort tasks", () => {
     test.each(cases)("$name", ({ pacePercent, tailMs, expectedPercent }) => {
         const job = fixtures.createJob(1);
         const steps = [
@@ -55,15 +55,17 @@
             0,
         );
         const worker = entries.createWorkerEntry(fixtures.createWorkerInfo(0));
-        const [serving, filling] = entries.createOccurrenceEntry(entry, 0, 0).steps.map(step => step.tasks[0]!);
-        for (const task of [serving!, filling!]) {
+        const [latencySensitive, bestEffort] = entries.createOccurrenceEntry(entry, 0, 0).steps.map(step =>
+            step.tasks[0]!
+        );
+        for (const task of [latencySensitive!, bestEffort!]) {
             entries.assign(task, worker);
             task.phase = "running";
         }
-        serving!.recentFigure = tailMs;
-        filling!.pacePercent = pacePercent;
+        latencySensitive!.recentFigure = tailMs;
+        bestEffort!.pacePercent = pacePercent;
         const orders: Array<readonly [task: string, percent: number]> = [];
         bestEffortPacing.paceBestEffortTasks(worker, (task, percent) => orders.push([task.name, percent]));
-        expect(orders).toEqual(expectedPercent === undefined ? [] : [[filling!.name, expectedPercent]]);
+        expect(orders).toEqual(expectedPercent === undefined ? [] : [[bestEffort!.name, expectedPercent]]);
     });
 });
--- a/src/leader/__tests__/crashAttribution.test.ts
+++ b/src/leader/__tests__/crashAttribution.test.ts
@@ -188,7 +188,7 @@
     {
         name: "on a worker that became unreachable with two others",
         prepare: worker => addTask(worker, 10),
-        meanwhile: (_judge, workers) =>
+        meanwhile: (_attribution, workers) =>
             workers.slice(1, 3).forEach(worker => entries.setReachable(worker, false, CRASHED_AT)),
         atOnce: CERTAIN,
         reviewed: LIKELY,
--- a/src/leader/__tests__/progressWriter.test.ts
+++ b/src/leader/__tests__/progressWriter.test.ts
@@ -48,7 +48,7 @@
     const time = clocks.createManualClock();
     const manual = createManualStore();
     const controller = new AbortController();
-    const deposed: string[] = [];
+    const supersededReasons: string[] = [];
     const silent = () => undefined;
     const writer = progressWriter.createProgressWriter({
         meter: telemetry.createMetrics().meter,
@@ -62,11 +62,11 @@
                 store.transact({ conditions: [GUARD, ...conditions], puts, removals }, timeoutMs),
         },
         onSuperseded: () => {
-            deposed.push("deposed");
+            supersededReasons.push("superseded");
             controller.abort();
         },
     });
-    return { time, calls: manual.calls, writer, deposed };
+    return { time, calls: manual.calls, writer, supersededReasons };
 }
 
 describe("progress writer", () => {
@@ -96,7 +96,7 @@
     });
 
     test("a write without an answer is retried with the versions in the store", async () => {
-        const { time, calls, writer, deposed } = openWriter();
+        const { time, calls, writer, supersededReasons } = openWriter();
         const occurrence = createOccurrence();
         writer.markOccurrence(occurrence);
         await time.advance(0);
@@ -110,11 +110,11 @@
         calls[2]!.answer({ kind: "committed", version: 9 });
         await time.advance(0);
         expect(occurrence.rowVersion).toBe(9);
-        expect(deposed).toEqual([]);
+        expect(supersededReasons).toEqual([]);
     });
 
     test("another leader's token ends the term, and the flush never resolves", async () => {
-        const { time, calls, writer, deposed } = openWriter();
+        const { time, calls, writer, supersededReasons } = openWriter();
         writer.markOccurrence(createOccurrence());
         let stored = false;
         void writer.flush().then(() => {
@@ -123,7 +123,7 @@
         await time.advance(0);
         calls[0]!.answer({ kind: "conflict", rows: [{ ...GUARD, version: 12, value: "" }] });
         await time.advance(1_000);
-        expect(deposed).toEqual(["deposed"]);
+        expect(supersededReasons).toEqual(["superseded"]);
         expect(stored).toBe(false);
         expect(calls).toHaveLength(1);
     });
--- a/src/leader/__tests__/renewals.test.ts
+++ b/src/leader/__tests__/renewals.test.ts
@@ -20,7 +20,7 @@
         read: async () => ({ kind: "unavailable", message: "" }),
         feed: async () => ({ kind: "unavailable", message: "" }),
     };
-    const deposed: string[] = [];
+    const supersededReasons: string[] = [];
     const renewals = renewalsOfTerm.createRenewals({
         clock,
         log: { info: () => {}, warn: () => {}, error: () => {} },
@@ -28,11 +28,11 @@
         sentAt: clocks.getTimestamp(clock),
         createRow: leaseMs => ({ ...LEASE, value: String(leaseMs) }),
         onRenewed: () => {},
-        onSuperseded: reason => deposed.push(reason),
+        onSuperseded: reason => supersededReasons.push(reason),
         onOverdue: () => {},
     });
     const getLeaseMs = (call: number) => Number(calls[call]!.tx.puts.find(put => put.key === LEASE.key)!.value);
-    return { clock, calls, store, deposed, renewals, getLeaseMs };
+    return { clock, calls, store, supersededReasons, renewals, getLeaseMs };
 }
 
 describe("renewals of a lease", () => {
@@ -116,14 +116,14 @@
     });
 
     test.each([
-        { name: "another leader's token ends the term", version: 2, deposed: 1 },
-        { name: "a conflict of other rows does not", version: 1, deposed: 0 },
-    ])("$name", async ({ version, deposed }) => {
+        { name: "another leader's token ends the term", version: 2, supersededCount: 1 },
+        { name: "a conflict of other rows does not", version: 1, supersededCount: 0 },
+    ])("$name", async ({ version, supersededCount }) => {
         const opened = openRenewals();
         await opened.clock.advance(500);
         void opened.renewals.transact(opened.store, {}, 900);
         opened.calls[0]!.answer({ kind: "conflict", rows: [{ ...TOKEN, value: "", version }] });
         await opened.clock.advance(0);
-        expect(opened.deposed).toHaveLength(deposed);
+        expect(opened.supersededReasons).toHaveLength(supersededCount);
     });
 });
--- a/src/leader/__tests__/workerSession.test.ts
+++ b/src/leader/__tests__/workerSession.test.ts
@@ -159,11 +159,11 @@
 
 // Guards against an unreachable worker that counts as crashed, and against a crash that is detected too late.
 describe("a poll without an answer", () => {
-    const cases: ReadonlyArray<readonly [name: string, failsAfterMs: number, isBrokenOff: boolean]> = [
+    const cases: ReadonlyArray<readonly [name: string, failsAfterMs: number, isReported: boolean]> = [
         ["whose connection breaks is reported at once", 50, true],
         ["that times out is not reported", Infinity, false],
     ];
-    test.each(cases)("%s", async (_name, failsAfterMs, isBrokenOff) => {
+    test.each(cases)("%s", async (_name, failsAfterMs, isReported) => {
         const time = clocks.createManualClock();
         let disconnections = 0;
         const refused = async () => ({ kind: "unreachable", message: "" } as const);
@@ -181,6 +181,6 @@
         });
         await time.advance(1_000);
         session.close();
-        expect(disconnections > 0).toBe(isBrokenOff);
+        expect(disconnections > 0).toBe(isReported);
     });
 });
--- a/src/leader/initialPollLimiter.ts
+++ b/src/leader/initialPollLimiter.ts
@@ -2,7 +2,7 @@
  * Limits the concurrency of a new leader's first polls and orders them by priority.
  *
  * Polling thousands of workers at once takes a slow machine seconds, in which it renews no lease and answers time out.
- * On a large site leaders would then depose each other, or start nothing for seconds after a takeover. So only a few
+ * On a large site leaders would then replace each other, or start nothing for seconds after a takeover. So only a few
  * polls are in flight: first of workers that may have tasks, last of those that have not answered before. The lease is
  * renewed between them.
  */
--- a/src/leader/taskWatchdog.ts
+++ b/src/leader/taskWatchdog.ts
@@ -22,7 +22,7 @@
 const MIN_HANG_TIMEOUT_MS = 1_500;
 /**
  * Each stop for lack of progress doubles the timeout. A task whose estimate is far too short would otherwise be stopped
- * again and again before its progress shows.
+ * repeatedly before its progress shows.
  */
 const STALL_BACKOFF_FACTOR = 2;
 /** Quarantine of a worker with a hanging task. */
@@ -116,7 +116,7 @@
 
 /**
  * Whether the task waits for slower members of its gang: it has reached 100 percent and all members are running. Gang
- * members end together, so without this rule gangs on healthy workers would be stopped as hanging again and again.
+ * members end together, so without this rule gangs on healthy workers would repeatedly be stopped as hanging.
  */
 function waitsForOthers(task: entries.TaskEntry): boolean {
     const { step } = task;
--- a/src/leader/units.ts
+++ b/src/leader/units.ts
@@ -261,7 +261,7 @@
     return { elapsedMs, unsavedMs, lossCoreSeconds };
 }
 
-/** Tasks that are not at work are not protected: their step already counts them as missing. */
+/** Unavailable tasks are not protected: their step already counts them as missing. */
 function getProtection(tasks: readonly entries.TaskEntry[]): decisions.DisruptionBudget | undefined {
     const { step } = tasks[0]!;
     const { mayMiss } = step.spec;
@@ -280,14 +280,14 @@
 
 /** Converts a worker to the input of the placement decisions. */
 export function toPlaceableWorker(worker: entries.WorkerEntry): decisions.PlaceableWorker {
-    const freeing = decisions.copyResources(work.NO_RESOURCES);
-    let serving = 0;
-    let filling = 0;
+    const releasing = decisions.copyResources(work.NO_RESOURCES);
+    let latencySensitiveTasks = 0;
+    let bestEffortTasks = 0;
     for (const task of worker.tasks) {
-        serving += task.step.spec.targetMs > 0 ? 1 : 0;
-        filling += task.step.spec.fills ? 1 : 0;
+        latencySensitiveTasks += task.step.spec.targetMs > 0 ? 1 : 0;
+        bestEffortTasks += task.step.spec.fills ? 1 : 0;
         if (task.phase === "stopping" || task.phase === "done") {
-            decisions.addResources(freeing, task.step.needs);
+            decisions.addResources(releasing, task.step.needs);
         }
     }
     return {
@@ -297,9 +297,9 @@
         labels: worker.info.labels,
         capacity: worker.info.capacity,
         used: worker.used,
-        releasing: freeing,
-        latencySensitiveTasks: serving,
-        bestEffortTasks: filling,
+        releasing,
+        latencySensitiveTasks,
+        bestEffortTasks,
         occupancy: getOccupancy(worker),
     };
 }
--- a/src/rows/__tests__/followTable.test.ts
+++ b/src/rows/__tests__/followTable.test.ts
@@ -84,7 +84,7 @@
             `A revoked key keeps working: the operator changes the configuration while the store does not answer this
             instance, and the pending poll times out long after the store has recovered.`,
         decide: now => now >= 1_500 && now < 4_000 ? "silent" : "none",
-        // After the poll that was under way when the outage began has ended.
+        // By this time the poll that was in flight when the outage began has ended.
         changedAt: 2_500,
         knownBy: 5_400,
     },
--- a/src/scheduler/__tests__/crashAttribution.test.ts
+++ b/src/scheduler/__tests__/crashAttribution.test.ts
@@ -45,7 +45,7 @@
 const PER_RACK = 4;
 
 const crashing = fixtures.createJob(1, { estimateMs: 5_000 }, { getCrashAfterMs: () => AT_ONCE_MS });
-const sound = fixtures.createJob(1, { estimateMs: 600 });
+const healthyJob = fixtures.createJob(1, { estimateMs: 600 });
 
 const cases: readonly Case[] = [
     {
@@ -87,7 +87,7 @@
     },
     {
         name: "a task that may have ended before its unreachable workers crashed is not failed",
-        job: sound,
+        job: healthyJob,
         workers: 4,
         decide: ({ site, cut }, call, number, worker) => {
             if (call === "start" && number <= 2) {
@@ -104,7 +104,7 @@
     },
 ];
 
-// Guards against starts beyond the crash limit of a task, and against a sound job that is failed because a lost run
+// Guards against starts beyond the crash limit of a task, and against a healthy job that is failed because a lost run
 // that need not be a crash was counted as one.
 describe("of runs lost without a confirmed cause", () => {
     test.each(cases)("$name", async ({ job, workers, decide, onRunStart, runMs, state }) => {
--- a/src/scheduler/__tests__/crashes.test.ts
+++ b/src/scheduler/__tests__/crashes.test.ts
@@ -91,7 +91,7 @@
         state: "failed",
     },
     {
-        name: "beside sound tasks, which all complete",
+        name: "beside healthy tasks, which all complete",
         job: fixtures.createJob(1, {}, crashing(AT_ONCE_MS)),
         others: range(6).map(number => fixtures.createJob(2 + number, { count: 4, estimateMs: 4_000 })),
         runMs: 60_000,
@@ -164,15 +164,15 @@
     });
 });
 
-// Guards against sound work that is lost because it runs beside the second start of a task that crashed its worker.
+// Guards against healthy work that is lost because it runs beside the second start of a task that crashed its worker.
 test("a task that has crashed its worker is started apart from others", async () => {
-    const soundJob = fixtures.createJob(1, { count: 7, estimateMs: 6_000 });
-    // Longer than its workers are down, so that each run certainly ended in the crash.
+    const healthyJob = fixtures.createJob(1, { count: 7, estimateMs: 6_000 });
+    // Runs longer than its workers are down, so that each run certainly ended in the crash.
     const crashingJob = fixtures.createJob(2, { estimateMs: 9_000 }, crashing(AT_ONCE_MS));
-    const site = await fixtures.openSiteWithJobs({ workers: 4 }, [soundJob]);
+    const site = await fixtures.openSiteWithJobs({ workers: 4 }, [healthyJob]);
     await site.clock.advance(2_000);
     await fixtures.advanceUntilSettled(site.clock, site.submit(crashingJob, 1));
-    // Submitted just after the second run of the crashing task has begun.
+    // The next job is submitted just after the second run of the crashing task has begun.
     await site.clock.advance(3_200);
     const later = fixtures.createJob(3, { count: 3 });
     await fixtures.advanceUntilSettled(site.clock, site.submit(later, 1));
@@ -180,11 +180,11 @@
     site.close();
     expect(site.workers.violations).toEqual([]);
     expect(fixtures.getStarts(site, crashingJob)).toHaveLength(2);
-    expect(fixtures.getStarts(site, soundJob)).toHaveLength(14);
+    expect(fixtures.getStarts(site, healthyJob)).toHaveLength(14);
     expect(fixtures.getStarts(site, later)).toHaveLength(3);
 });
 
-// Guards against a sound job that is failed because starts sent to workers already down count as crashes of its task.
+// Guards against a healthy job that fails because starts sent to workers already down count as crashes of its task.
 test("a task lost with its worker is only sent to a worker that answers", async () => {
     const sent: Array<{ worker: string; call: string; isDown: boolean; }> = [];
     const down = new Set<string>();
@@ -204,7 +204,7 @@
     crashWorkerOf(site, 1);
     const [first] = fixtures.getStarts(site, job);
     const others = range(4).map(number => `worker-${number}`).filter(worker => worker !== first!.workerId);
-    // They crash as the first worker restarts and its task is found to be lost.
+    // The other workers crash as the first one restarts and its task is found to be lost.
     await site.clock.advance(2_500);
     others.forEach(worker => {
         down.add(worker);
--- a/src/scheduler/__tests__/failingWorkers.test.ts
+++ b/src/scheduler/__tests__/failingWorkers.test.ts
@@ -32,7 +32,7 @@
         site.close();
     });
 
-    // Guards against 5 s without a start beside sound workers: each task of a job that always fails runs on another
+    // Guards against 5 s without a start beside healthy workers: each task of a job that always fails runs on another
     // worker, and every failure counts against the worker.
     test("of a job that always fails leave most workers in use", async () => {
         const alwaysFailing = fixtures.createJob(
@@ -42,10 +42,10 @@
         );
         const site = await fixtures.openSiteWithJobs({}, [alwaysFailing]);
         await site.clock.advance(600);
-        const sound = fixtures.createJob(2, { count: 2, needs: WHOLE_WORKER, estimateMs: 1_000 });
-        await fixtures.advanceUntilSettled(site.clock, site.submit(sound, 1));
+        const healthyJob = fixtures.createJob(2, { count: 2, needs: WHOLE_WORKER, estimateMs: 1_000 });
+        await fixtures.advanceUntilSettled(site.clock, site.submit(healthyJob, 1));
         await site.clock.advance(500);
-        expect(fixtures.getStarts(site, sound)).toHaveLength(2);
+        expect(fixtures.getStarts(site, healthyJob)).toHaveLength(2);
         site.close();
     });
 });
--- a/src/scheduler/__tests__/failover.test.ts
+++ b/src/scheduler/__tests__/failover.test.ts
@@ -111,9 +111,9 @@
 });
 
 describe("work on a worker that is lost while leaders change", () => {
-    // Guards against a job that makes no progress for 17 s beside idle workers: its worker is lost for good while all
-    // instances are killed, and one restarts and leads. It must not wait the 9 s for which a predecessor that is cut
-    // off may renew leases, since that predecessor was its own earlier incarnation, which has ended.
+    // Guards against a job that makes no progress for 17 s beside idle workers: its worker is permanently lost
+    // while all instances are killed, and one restarts and leads. It must not wait the 9 s for which a predecessor that
+    // is cut off may renew leases, since that predecessor was its own earlier incarnation, which has ended.
     const LEASE_MS = 6_500;
     /** How long a leader that is cut off goes on renewing the leases of tasks. */
     const CUT_OFF_RENEWAL_MS = 9_000;
--- a/src/scheduler/__tests__/failures.test.ts
+++ b/src/scheduler/__tests__/failures.test.ts
@@ -57,7 +57,7 @@
     {
         name: "the leader is killed",
         description:
-            `Tasks run twice: a leader dies with starts under way, and its successor places the same tasks elsewhere,
+            `Tasks run twice: a leader dies with starts in flight, and its successor places the same tasks elsewhere,
             since the rows do not name the starts before they are sent.`,
         jobs: MIXED_JOBS,
         events: [[300, site => site.kill(site.getLeader()!)]],
@@ -67,7 +67,7 @@
         name: "the leader is killed as its first starts are sent",
         description:
             `A task runs on two workers: the leader dies between storing a placement and the worker's answer, and its
-            successor finds the task on no worker and starts it at once, though the start may still be under way.`,
+            successor finds the task on no worker and starts it at once, though the start may still be in flight.`,
         jobs: MIXED_JOBS,
         events: [[12, site => site.kill(site.getLeader()!)]],
         runMs: 25_000,
@@ -167,8 +167,7 @@
     },
     {
         name: "a worker is lost for good",
-        description:
-            `Its tasks never end: a worker crashes while it runs tasks, and they count as running forever, since
+        description: `Tasks never end: a worker crashes while it runs tasks, and they count as running forever, since
             nobody reports their end.`,
         jobs: MIXED_JOBS,
         events: [[600, site => site.workers.kill("worker-0", false)]],
--- a/src/scheduler/__tests__/progress.test.ts
+++ b/src/scheduler/__tests__/progress.test.ts
@@ -53,8 +53,7 @@
     },
     {
         name: "a gang whose members work at different speeds ends",
-        description:
-            `A gang on sound workers is stopped again and again: one of its workers is four times slower, and the
+        description: `A gang on healthy workers is stopped repeatedly: one of its workers is four times slower, and the
             members that have finished stay at 100 percent and are taken for stalled.`,
         estimateMs: 3_000,
         durationMs: 3_000,
@@ -66,7 +65,7 @@
     {
         name: "a task with checkpoints moves away from a worker that has become slow",
         description:
-            `A job ends only when its slowest worker has finished: a sound worker becomes eight times slower after 2 s,
+            `A job ends only when its slowest worker is done: a healthy worker becomes eight times slower after 2 s,
             and only work without any progress is moved.`,
         estimateMs: 6_000,
         durationMs: 6_000,
--- a/src/scheduler/__tests__/scheduler.test.ts
+++ b/src/scheduler/__tests__/scheduler.test.ts
@@ -215,7 +215,7 @@
         const job = fixtures.createJob(1);
         const site = await fixtures.openSiteWithJobs({}, [job]);
         await site.clock.advance(4_000);
-        // As if a leader was lost between removing the submission and removing its progress.
+        // Simulates a leader that was lost between removing the submission and removing its progress.
         site.store.remove({ table: "jobs", part: work.getIntakePart(job.jobId), key: job.jobId });
         const before = site.workers.starts.length;
         site.kill(site.getLeader()!);
--- a/src/scheduler/__tests__/unknownService.test.ts
+++ b/src/scheduler/__tests__/unknownService.test.ts
@@ -21,23 +21,23 @@
     }, []);
     site.workers.add(UNKNOWN_SERVICE_WORKER);
     await site.clock.advance(3_000);
-    return { site, looked: polledWorkers };
+    return { site, polledWorkers };
 }
 
 describe("a worker of a service that is not configured", () => {
     test("is not polled and is logged once, and the other workers are used", async () => {
-        const { site, looked } = await openWithUnknownServiceWorker();
+        const { site, polledWorkers } = await openWithUnknownServiceWorker();
         const job = fixtures.createJob(1, { count: 4 });
         await fixtures.advanceUntilSettled(site.clock, site.submit(job, 0));
         await site.clock.advance(4_000);
-        expect(looked).not.toContain(UNKNOWN_SERVICE_WORKER.id);
+        expect(polledWorkers).not.toContain(UNKNOWN_SERVICE_WORKER.id);
         expect(site.workers.completionCounts.size).toBe(4);
         expect(site.lines.filter(line => line["event"] === "workerOfUnknownService")).toHaveLength(1);
         site.close();
     });
 
     test("is used as soon as its service is configured", async () => {
-        const { site, looked } = await openWithUnknownServiceWorker();
+        const { site, polledWorkers } = await openWithUnknownServiceWorker();
         const services = [...fixtures.CATALOG.services, {
             name: UNKNOWN_SERVICE_WORKER.service,
             refusesOverload: false,
@@ -45,7 +45,7 @@
         }];
         site.applyCatalog({ ...fixtures.CATALOG, version: 2, services });
         await site.clock.advance(1_000);
-        expect(looked).toContain(UNKNOWN_SERVICE_WORKER.id);
+        expect(polledWorkers).toContain(UNKNOWN_SERVICE_WORKER.id);
         site.close();
     });
 
