--- a/bench/fuzz.ts
+++ b/bench/fuzz.ts
@@ -47,7 +47,7 @@
         }
     }
     process.stdout.write(
-        `${options.runs} sites from seed ${firstSeed}, ${failedSites} with a broken promise; ${wronglyFailedJobs} sound jobs given up\n`,
+        `${options.runs} sites from seed ${firstSeed}, ${failedSites} with violations; ${wronglyFailedJobs} healthy jobs failed\n`,
     );
     process.exitCode = failedSites > 0 ? 1 : 0;
 }
--- a/soak/main.ts
+++ b/soak/main.ts
@@ -65,7 +65,7 @@
         const hasViolations = report.violations.length > 0;
         failedRuns += hasViolations ? 1 : 0;
         print(
-            `seed ${seed}: ${hasViolations ? `${report.violations.length} broken promises` : "ok"}; `
+            `seed ${seed}: ${hasViolations ? `${report.violations.length} violations` : "ok"}; `
                 + `${report.accepted} of ${report.jobs} jobs accepted, ${report.starts} starts`
                 + (hasViolations ? `; output in ${report.folder}` : ""),
         );
@@ -74,7 +74,7 @@
             fs.rmSync(report.folder, { recursive: true, force: true });
         }
     }
-    print(`${options.seeds} runs from seed ${firstSeed}, ${failedRuns} with a broken promise`);
+    print(`${options.seeds} runs from seed ${firstSeed}, ${failedRuns} with violations`);
     process.exit(failedRuns > 0 ? 1 : 0);
 }
 
