--- a/soak/__tests__/link.test.ts
+++ b/soak/__tests__/link.test.ts
@@ -24,7 +24,7 @@
     return { server, address: `127.0.0.1:${(server.address() as net.AddressInfo).port}`, received, sockets };
 }
 
-/** Below the system's port range for outgoing connections, so that no such connection takes it. */
+/** A port below the system's range for outgoing connections, so that no such connection takes it. */
 const PORT = 21_873;
 
 describe("a link", () => {
--- a/soak/operator.ts
+++ b/soak/operator.ts
@@ -125,7 +125,7 @@
         pathPrefix: `/${name}/`,
         service: "service",
         priority,
-        // Enough attempts for random failures of a task in addition to crashes of a job that takes down its workers.
+        // Allows for random failures of a task in addition to crashes of a job that takes down its workers.
         maxAttempts: 4,
         stretch: 3,
         objectiveMs: 1_000,
--- a/src/decisions/pace.ts
+++ b/src/decisions/pace.ts
@@ -13,11 +13,11 @@
     readonly tailLatencyRatios: readonly number[];
 }
 
-/** Below 1, since the latencies are rough and half a second old: a cut at the bound itself would come too late. */
+/** This is below 1 since latencies are rough and half a second old: a cut at the bound itself would come too late. */
 const CUT_RATIO = 0.85;
 /** At the bound, best-effort tasks stop at once: violations count by the second, and each poll takes most of one. */
 const STOP_RATIO = 1;
-/** Low enough that raising the pace by one step does not exceed the bound. */
+/** This is low enough that raising the pace by one step does not exceed the bound. */
 const RAISE_BELOW_RATIO = 0.6;
 const RAISE_PERCENT = 10;
 
--- a/src/decisions/types.ts
+++ b/src/decisions/types.ts
@@ -111,7 +111,7 @@
     readonly now: number;
     readonly disabledMechanisms?: ReadonlySet<mechanism.Mechanism>;
     readonly workers: readonly PlaceableWorker[];
-    /** In the order in which they are served. */
+    /** Waiting units in the order in which they are served. */
     readonly units: readonly WaitingUnit[];
     /** Called only if the pass needs preemption: on a large site the groups are most of the input. */
     getRunningGroups(): readonly RunningGroup[];
--- a/src/leader/holderMonitor.ts
+++ b/src/leader/holderMonitor.ts
@@ -32,7 +32,7 @@
     end(): void;
 }
 
-/** Three heartbeats; a lost packet is retransmitted sooner. */
+/** Interval of three heartbeats; a lost packet is retransmitted sooner. */
 const HEARTBEAT_TIMEOUT_MS = 600;
 /** The last renewal of a process may become visible this long after the process has exited. */
 const LAST_RENEWAL_DELAY_MS = 200;
--- a/src/liveness/__tests__/liveness.test.ts
+++ b/src/liveness/__tests__/liveness.test.ts
@@ -1,7 +1,7 @@
 import * as clocks from "../../clock/index";
 import * as liveness from "../index";
 
-/** Below 32,768: the system may assign higher ports to outgoing connections. */
+/** A port below 32,768: the system may assign higher ones to outgoing connections. */
 const CLOSED_PORT = 20_000 + (process.pid % 12_000);
 
 describe("liveness of a process", () => {
--- a/src/relay/relay.ts
+++ b/src/relay/relay.ts
@@ -52,11 +52,11 @@
     ): Promise<messages.CallerReply>;
 }
 
-/** Enough for the leader and, if the leader is cut off from the store, for a peer that it names. */
+/** Allows for the leader and, if the leader is cut off from the store, for a peer that it names. */
 const MAX_PEERS = 2;
 /** A reply takes about 15 ms, or 0.6 s if the store is 60 times slower. */
 const PEER_TIMEOUT_MS = 700;
-/** Shorter than the timeout: a peer that has just lost the store refuses before it, and the outcome is known. */
+/** This is shorter than the timeout, so a peer that has just lost the store refuses in time: the outcome is known. */
 const PEER_DEADLINE_MS = 600;
 /** Minimum time left for a forwarded request: with less, a peer's reply would miss the caller's deadline. */
 const MIN_TIMEOUT_MS = 50;
--- a/src/scheduler/__tests__/cancelledStarts.test.ts
+++ b/src/scheduler/__tests__/cancelledStarts.test.ts
@@ -2,7 +2,7 @@
 import type * as emulator from "../../emulator/index";
 import * as fixtures from "./fixtures";
 
-/** Longer than a caller waits, shorter than the maximum lease. */
+/** Delay of a late start: longer than a caller waits, shorter than the maximum lease. */
 const LATE_MS = 4_500;
 const LONG_MS = 20_000;
 /** Bound of the users' brief: a worker is reachable for 3 s, and a stop takes 0.2 s. */
--- a/src/scheduler/__tests__/capacity.test.ts
+++ b/src/scheduler/__tests__/capacity.test.ts
@@ -2,7 +2,7 @@
 import * as fixtures from "./fixtures";
 
 const WHOLE = { cpuMillis: 1_000, memoryMb: 1_000, accelerators: 8 };
-/** Longer than a worker takes to report a change, shorter than a lease that is renewed meanwhile. */
+/** Longer than a worker takes to report a change, and shorter than a lease, which is renewed during this time. */
 const SLOW_MS = 2_000;
 const SMALL = { ...fixtures.createWorkerInfo(0).capacity, accelerators: 2 };
 
--- a/src/scheduler/__tests__/crashes.test.ts
+++ b/src/scheduler/__tests__/crashes.test.ts
@@ -3,7 +3,7 @@
 
 const AT_ONCE_MS = 10;
 const GANG = { count: 3, gang: true };
-/** Longer than the maximum lease. */
+/** Duration of a restart that is longer than the maximum lease. */
 const LONG_RESTART_MS = 9_000;
 
 interface Case {
--- a/src/scheduler/__tests__/restarts.test.ts
+++ b/src/scheduler/__tests__/restarts.test.ts
@@ -2,7 +2,7 @@
 import * as fixtures from "./fixtures";
 
 const WORKERS = 2;
-/** Enough tasks for several ends on each worker before it restarts. */
+/** A job with enough tasks for several ends on each worker before it restarts. */
 const EARLIER_JOB = fixtures.createJob(1, { count: 12, estimateMs: 500 });
 const EARLIER_MS = 3_000;
 const DOWN_MS = 750;
--- a/src/telemetry/lineLog.ts
+++ b/src/telemetry/lineLog.ts
@@ -17,7 +17,7 @@
     readonly output: { write(text: string): boolean; readonly writableLength: number; };
 }
 
-/** Enough for a leader of some hundred workers at normal load; at peak load lines about single runs are dropped. */
+/** Suffices for a leader of some hundred workers at normal load; at peak load lines about single runs are dropped. */
 const LINES_PER_SECOND = 400;
 const MAX_BURST_LINES = 1_200;
 /** Maximum text buffered for the reader; lines beyond it are dropped. */
--- a/standins/site/__tests__/embeddedSite.test.ts
+++ b/standins/site/__tests__/embeddedSite.test.ts
@@ -32,7 +32,7 @@
     };
 }
 
-/** Below the timeout of a test: a loop that outlives its test would keep the test runner from exiting. */
+/** This is below the timeout of a test: a loop that outlives its test would keep the test runner from exiting. */
 const CONDITION_TIMEOUT_MS = 25_000;
 
 async function waitUntilTrue(condition: () => boolean): Promise<void> {
