--- a/soak/operator.ts
+++ b/soak/operator.ts
@@ -56,7 +56,7 @@
         acknowledgedAt.set(version, time.now());
     };
     writeConfiguration();
-    /** Whether the instance serves the marker queue of this version; `undefined` if the reply does not tell. */
+    /** Whether the instance serves the marker queue of this version; `undefined` if the reply does not state it. */
     const servesVersion = async (instance: number, polledVersion: number) => {
         const reply = await client.countWaiting(
             site.instances[instance]!.callerAddress,
@@ -125,7 +125,7 @@
         pathPrefix: `/${name}/`,
         service: "service",
         priority,
-        // Enough attempts for random failures of a task in addition to crashes of a job that takes down its workers.
+        // Allows for random failures of a task in addition to crashes of a job that takes down its workers.
         maxAttempts: 4,
         stretch: 3,
         objectiveMs: 1_000,
--- a/src/decisions/types.ts
+++ b/src/decisions/types.ts
@@ -95,7 +95,7 @@
     readonly lossCoreSeconds: number;
     /** Total cost of a stop: the thrown-away work and the cost of making the job late. */
     readonly costCoreSeconds: number;
-    /** Set for a lasting task at work whose step may miss only some of its tasks at a time. */
+    /** Set for an available lasting task whose step may miss only some of its tasks at a time. */
     readonly disruptionBudget?: DisruptionBudget;
 }
 
@@ -111,7 +111,7 @@
     readonly now: number;
     readonly disabledMechanisms?: ReadonlySet<mechanism.Mechanism>;
     readonly workers: readonly PlaceableWorker[];
-    /** In the order in which they are served. */
+    /** Waiting units in the order in which they are served. */
     readonly units: readonly WaitingUnit[];
     /** Called only if the pass needs preemption: on a large site the groups are most of the input. */
     getRunningGroups(): readonly RunningGroup[];
--- a/src/leader/__tests__/renewals.test.ts
+++ b/src/leader/__tests__/renewals.test.ts
@@ -20,7 +20,7 @@
         read: async () => ({ kind: "unavailable", message: "" }),
         feed: async () => ({ kind: "unavailable", message: "" }),
     };
-    const deposed: string[] = [];
+    const supersededReasons: string[] = [];
     const renewals = renewalsOfTerm.createRenewals({
         clock,
         log: { info: () => {}, warn: () => {}, error: () => {} },
@@ -28,11 +28,11 @@
         sentAt: clocks.getTimestamp(clock),
         createRow: leaseMs => ({ ...LEASE, value: String(leaseMs) }),
         onRenewed: () => {},
-        onSuperseded: reason => deposed.push(reason),
+        onSuperseded: reason => supersededReasons.push(reason),
         onOverdue: () => {},
     });
     const getLeaseMs = (call: number) => Number(calls[call]!.tx.puts.find(put => put.key === LEASE.key)!.value);
-    return { clock, calls, store, deposed, renewals, getLeaseMs };
+    return { clock, calls, store, supersededReasons, renewals, getLeaseMs };
 }
 
 describe("renewals of a lease", () => {
@@ -45,7 +45,7 @@
         expect(renewals.getMsUntilDue()).toBe(500);
     });
 
-    test("are not combined with a write that has no room for them", async () => {
+    test("are not combined with a write that already has the maximum number of entries", async () => {
         const { clock, calls, store, renewals } = openRenewals();
         await clock.advance(500);
         const puts = Array.from({ length: 99 }, (_, number) => ({ ...TOKEN, key: String(number), value: "" }));
@@ -73,7 +73,7 @@
     const cases = [
         { name: "for the normal time at a store that answers at once", answersAfterMs: 10, leaseMs: 1_600 },
         { name: "longer by two answer times at a slow store", answersAfterMs: 400, leaseMs: 2_400 },
-        { name: "for four seconds at most", answersAfterMs: 3_000, leaseMs: 4_000 },
+        { name: "for at most four seconds", answersAfterMs: 3_000, leaseMs: 4_000 },
     ];
     test.each(cases)("ask for a lease that lasts $name", async ({ answersAfterMs, leaseMs }) => {
         const { clock, calls, store, renewals, getLeaseMs } = openRenewals();
@@ -116,14 +116,14 @@
     });
 
     test.each([
-        { name: "another leader's token ends the term", version: 2, deposed: 1 },
-        { name: "a conflict of other rows does not", version: 1, deposed: 0 },
-    ])("$name", async ({ version, deposed }) => {
+        { name: "another leader's token ends the term", version: 2, supersededCount: 1 },
+        { name: "a conflict of other rows does not", version: 1, supersededCount: 0 },
+    ])("$name", async ({ version, supersededCount }) => {
         const opened = openRenewals();
         await opened.clock.advance(500);
         void opened.renewals.transact(opened.store, {}, 900);
         opened.calls[0]!.answer({ kind: "conflict", rows: [{ ...TOKEN, value: "", version }] });
         await opened.clock.advance(0);
-        expect(opened.deposed).toHaveLength(deposed);
+        expect(opened.supersededReasons).toHaveLength(supersededCount);
     });
 });
--- a/src/leader/__tests__/workerRegistry.test.ts
+++ b/src/leader/__tests__/workerRegistry.test.ts
@@ -11,11 +11,11 @@
 const SECOND = { name: NAME, startedAt: 2_000 };
 const TASK = "job.0.0.0";
 
-function list(bornAt: number): directory.ListedWorker {
+function list(startedAt: number): directory.ListedWorker {
     return {
         ...entries.createUnknownWorkerInfo(""),
         name: NAME,
-        startedAt: bornAt,
+        startedAt,
         address: "a:1",
         service: "booking",
         reportedAt: 0,
@@ -30,7 +30,7 @@
     const polls: string[] = [];
     const jobs = fixtures.createJobRegistry({
         getWorkers: () => registry.workers.values(),
-        stopWanted: task => stops.push(task.worker!.id),
+        onStopRequested: task => stops.push(task.worker!.id),
     });
     const registry: workerRegistry.WorkerRegistry = workerRegistry.createWorkerRegistry({
         clock: time,
--- a/src/leader/term.ts
+++ b/src/leader/term.ts
@@ -49,7 +49,7 @@
     readonly waves: machines.WavePort;
     readonly policy: decisions.Policy;
     /** Unique to this incarnation of the instance. */
-    readonly incarnation: string;
+    readonly incarnationId: string;
     /** Maximum lease of the tasks on a worker, in milliseconds. */
     readonly maxLeaseMs: number;
     /** How long a start may rely on a reported capacity, in milliseconds. */
@@ -71,9 +71,9 @@
 const PASS_DELAY_MS = 4;
 /** Interval of passes without events, for waits that expire. */
 const IDLE_PASS_MS = 250;
-/** Short compared with the seconds after which an unlisted worker is removed. */
+/** Interval of directory checks; short compared with the seconds after which an unlisted worker is removed. */
 const DIRECTORY_CHECK_MS = 600;
-/** Interval of the log lines on thrown away work and on stalled steps. */
+/** Interval of the log lines on thrown-away work and on stalled steps. */
 const SUMMARY_INTERVAL_MS = 2_000;
 /** Longest time for which a worker holds a poll open. */
 const MAX_POLL_WAIT_MS = 2_000;
@@ -270,7 +270,7 @@
         const view = createView(guarantees.findGuaranteedJobs(jobRegistry.active, options.catalog.getAccount));
         taskWatchdog.stopUnviableTasks([...registry.workers.values()], {
             now,
-            estimateRunMs: estimateRunMs,
+            estimateRunMs,
             jobRegistry,
             log,
             disabledMechanisms,
@@ -359,7 +359,7 @@
             clock: time,
             log,
             leadership,
-            holder: options.incarnation,
+            holder: options.incarnationId,
             upkeepMs: options.upkeepMs,
             jobRegistry,
             getWorker: registry.findCurrent,
--- a/src/leader/units.ts
+++ b/src/leader/units.ts
@@ -76,7 +76,7 @@
     const { job } = step.occurrence;
     const waitedMs = options.now - Math.max(step.readySince ?? options.now, firstTask.waitingSince);
     const stepName = getStepName(step);
-    const mayCrashWorker = waitedMs < ISOLATION_PATIENCE_MS && !options.policy.disabledMechanisms.has("isolation")
+    const mayCrashWorker = waitedMs < ISOLATION_MAX_WAIT_MS && !options.policy.disabledMechanisms.has("isolation")
         && tasks.some(task => crashHistory.isSuspect(task.crashes));
     return {
         key: firstTask.name,
@@ -95,18 +95,18 @@
         latencySensitive: spec.targetMs > 0,
         bestEffort: spec.fills,
         mayCrashWorker,
-        excludedWorkerIds: waitedMs < OTHER_WORKER_PATIENCE_MS ? getFailedWorkerIds(tasks) : NO_WORKERS,
+        excludedWorkerIds: waitedMs < OTHER_WORKER_MAX_WAIT_MS ? getFailedWorkerIds(tasks) : NO_WORKERS,
         allowedWorkerIds: job.queue.advice ? getTicketedWorkerIds(step, options.now) : undefined,
         waitedMs,
         expectedDurationMs: options.estimateRunMs(step),
     };
 }
 
-/** Wait after which a task that may crash its worker is placed on any worker with room. */
-const ISOLATION_PATIENCE_MS = 2_000;
+/** Wait after which a task that may crash its worker is placed on any worker where it fits. */
+const ISOLATION_MAX_WAIT_MS = 2_000;
 
-/** Wait after which a failed task is placed on any worker: it may have failed on each that has room for it. */
-const OTHER_WORKER_PATIENCE_MS = 2_000;
+/** Wait after which a failed task is placed on any worker: it may have failed on each where it fits. */
+const OTHER_WORKER_MAX_WAIT_MS = 2_000;
 const NO_WORKERS: ReadonlySet<string> = new Set();
 
 function getFailedWorkerIds(tasks: readonly entries.TaskEntry[]): ReadonlySet<string> {
@@ -261,7 +261,7 @@
     return { elapsedMs, unsavedMs, lossCoreSeconds };
 }
 
-/** Tasks that are not at work are not protected: their step already counts them as missing. */
+/** Unavailable tasks are not protected: their step already counts them as missing. */
 function getProtection(tasks: readonly entries.TaskEntry[]): decisions.DisruptionBudget | undefined {
     const { step } = tasks[0]!;
     const { mayMiss } = step.spec;
@@ -280,14 +280,14 @@
 
 /** Converts a worker to the input of the placement decisions. */
 export function toPlaceableWorker(worker: entries.WorkerEntry): decisions.PlaceableWorker {
-    const freeing = decisions.copyResources(work.NO_RESOURCES);
-    let serving = 0;
-    let filling = 0;
+    const releasing = decisions.copyResources(work.NO_RESOURCES);
+    let latencySensitiveTasks = 0;
+    let bestEffortTasks = 0;
     for (const task of worker.tasks) {
-        serving += task.step.spec.targetMs > 0 ? 1 : 0;
-        filling += task.step.spec.fills ? 1 : 0;
+        latencySensitiveTasks += task.step.spec.targetMs > 0 ? 1 : 0;
+        bestEffortTasks += task.step.spec.fills ? 1 : 0;
         if (task.phase === "stopping" || task.phase === "done") {
-            decisions.addResources(freeing, task.step.needs);
+            decisions.addResources(releasing, task.step.needs);
         }
     }
     return {
@@ -297,14 +297,14 @@
         labels: worker.info.labels,
         capacity: worker.info.capacity,
         used: worker.used,
-        releasing: freeing,
-        latencySensitiveTasks: serving,
-        bestEffortTasks: filling,
-        occupancy: getCompany(worker),
+        releasing,
+        latencySensitiveTasks,
+        bestEffortTasks,
+        occupancy: getOccupancy(worker),
     };
 }
 
-function getCompany(worker: entries.WorkerEntry): decisions.Occupancy {
+function getOccupancy(worker: entries.WorkerEntry): decisions.Occupancy {
     for (const task of worker.tasks) {
         if (suspects.isUnsettled(task)) {
             return decisions.Occupancy.RecentStart;
--- a/src/scheduler/__tests__/capacity.test.ts
+++ b/src/scheduler/__tests__/capacity.test.ts
@@ -2,7 +2,7 @@
 import * as fixtures from "./fixtures";
 
 const WHOLE = { cpuMillis: 1_000, memoryMb: 1_000, accelerators: 8 };
-/** Longer than a worker takes to report a change, shorter than a lease that is renewed meanwhile. */
+/** Longer than a worker takes to report a change, and shorter than a lease, which is renewed during this time. */
 const SLOW_MS = 2_000;
 const SMALL = { ...fixtures.createWorkerInfo(0).capacity, accelerators: 2 };
 
@@ -68,7 +68,7 @@
     });
 });
 
-// Guards against overload while tasks stop: once they no longer count, other tasks are placed in their room too early.
+// Guards against overload while tasks stop: if they no longer count, other tasks are placed on the worker too early.
 test("tasks being stopped on a worker that has shrunk still count towards its load", async () => {
     const site = fixtures.openSite({ workers: 1 });
     await site.clock.advance(1_000);
--- a/src/scheduler/__tests__/restarts.test.ts
+++ b/src/scheduler/__tests__/restarts.test.ts
@@ -2,7 +2,7 @@
 import * as fixtures from "./fixtures";
 
 const WORKERS = 2;
-/** Enough tasks for several ends on each worker before it restarts. */
+/** A job with enough tasks for several ends on each worker before it restarts. */
 const EARLIER_JOB = fixtures.createJob(1, { count: 12, estimateMs: 500 });
 const EARLIER_MS = 3_000;
 const DOWN_MS = 750;
@@ -63,7 +63,7 @@
     const site = await openRestartedSite();
     await fixtures.advanceUntilSettled(site.clock, site.submit(job, 1));
     await site.clock.advance(6_000);
-    expect(site.workers.breaches).toEqual([]);
+    expect(site.workers.violations).toEqual([]);
     expect(await fixtures.advanceUntilSettled(site.clock, site.getState(job.jobId, 0))).toMatchObject({ state });
     expect(site.workers.starts.filter(start => start.task === `${job.jobId}.0.0.0`)).toHaveLength(runs);
     site.close();
--- a/src/telemetry/lineLog.ts
+++ b/src/telemetry/lineLog.ts
@@ -3,7 +3,7 @@
  *
  * If the reader of the output stalls, the pipe fills. Without limits a blocking write would then stop the instance, or
  * the buffer would grow until it runs out of memory. Lines over the limit are dropped, and the next line that is
- * written tells how many.
+ * written states how many.
  */
 import type * as clock from "../clock/index";
 import type * as observe from "../observe/index";
@@ -17,7 +17,7 @@
     readonly output: { write(text: string): boolean; readonly writableLength: number; };
 }
 
-/** Enough for a leader of some hundred workers at normal load; at peak load lines about single runs are dropped. */
+/** Suffices for a leader of some hundred workers at normal load; at peak load lines about single runs are dropped. */
 const LINES_PER_SECOND = 400;
 const MAX_BURST_LINES = 1_200;
 /** Maximum text buffered for the reader; lines beyond it are dropped. */
