--- a/bench/placement.ts
+++ b/bench/placement.ts
@@ -78,7 +78,7 @@
     const plan = placement.createPlan(site.presets[0]!, site.topology, new Set());
     const planMs = performance.now() - planStartedAt;
     const scheduler = queue.createScheduler(time, queue.getShapes(current, "zone-a"));
-    scheduler.setTerms({ policy: site.policy, accounts: site.accounts, homes: plan.parts, drained: new Set() });
+    scheduler.setConfig({ policy: site.policy, accounts: site.accounts, homes: plan.parts, drained: new Set() });
     let nextId = 0;
     const addJob = () => {
         nextId++;
--- a/bench/policy/simulateDay.ts
+++ b/bench/policy/simulateDay.ts
@@ -87,10 +87,10 @@
     const drained = new Set(preset.drainedWorkers);
     const zones = current.topology.zones.map(zone => {
         const scheduler = queue.createScheduler(time, queue.getShapes(current, zone));
-        const health = workers.createWorkerHealth({ clock: time, workerCount: scheduler.books.workers.size });
+        const health = workers.createWorkerHealth({ clock: time, workerCount: scheduler.fleet.workers.size });
         for (const workerId of drained) {
-            if (scheduler.books.workers.has(workerId)) {
-                scheduler.books.setUsable(workerId, false);
+            if (scheduler.fleet.workers.has(workerId)) {
+                scheduler.fleet.setUsable(workerId, false);
             }
         }
         return { zone, scheduler, health };
@@ -109,10 +109,10 @@
     const getZone = (zone: string) => zones.find(item => item.zone === zone)!;
 
     const updateTerms = () => {
-        const lost = new Set(zones.flatMap(item => item.health.getSetAside()));
+        const lost = new Set(zones.flatMap(item => item.health.getQuarantined()));
         const plan = placement.createPlan(preset, current.topology, lost);
         for (const { scheduler } of zones) {
-            scheduler.setTerms({
+            scheduler.setConfig({
                 policy: current.contracts.policy,
                 accounts: current.contracts.accounts,
                 homes: plan.parts,
@@ -131,15 +131,15 @@
             }
             return {
                 zone,
-                freeAccelerators: scheduler.books.getFreeAccelerators(),
-                largestFreeBlock: scheduler.books.getLargestFreeBlock(),
-                largestHole: scheduler.books.getLargestHole(),
+                freeAccelerators: scheduler.fleet.getFreeAccelerators(),
+                largestFreeBlock: scheduler.fleet.getLargestFreeBlock(),
+                largestHole: scheduler.fleet.getLargestHole(),
                 waitingWorkMs,
                 unfinished: {},
                 waiting: {},
                 freeGuaranteed: Object.fromEntries(
                     current.contracts.accounts.map(
-                        item => [item.name, scheduler.books.getLargestFreeGuaranteed(item.name)],
+                        item => [item.name, scheduler.fleet.getLargestFreeGuaranteed(item.name)],
                     ),
                 ),
             };
@@ -249,7 +249,7 @@
         options.onEvict?.(cause, job.queued.jobId);
         const { scheduler } = getZone(job.zone);
         if (cause === "reclaim") {
-            for (const item of scheduler.getHeld()) {
+            for (const item of scheduler.getHolds()) {
                 if (!reclaimedAt.has(item.jobId) && item.kind === "reclaim") {
                     reclaimedAt.set(item.jobId, now);
                 }
@@ -282,7 +282,7 @@
     const moveWaitingJobs = () => {
         for (const { zone, scheduler } of zones) {
             for (const queued of [...scheduler.queue.getJobs()]) {
-                const mayMove = now - queued.queuedAt > MIN_WAIT_BEFORE_MOVE_MS && !scheduler.isPlaceKept(queued.jobId);
+                const mayMove = now - queued.queuedAt > MIN_WAIT_BEFORE_MOVE_MS && !scheduler.isPlaceHeld(queued.jobId);
                 const target = mayMove ? admission.findZoneWithRoom(queued, zone) : undefined;
                 if (target !== undefined && scheduler.remove(queued.jobId)) {
                     getZone(target).scheduler.add(queued);
@@ -296,10 +296,10 @@
 
     const refreshHealth = () => {
         for (const { scheduler, health, zone } of zones) {
-            for (const worker of scheduler.books.workers.values()) {
+            for (const worker of scheduler.fleet.workers.values()) {
                 const usable = health.isUsable(worker.id) && !drained.has(worker.id);
                 if (usable !== worker.usable) {
-                    scheduler.books.setUsable(worker.id, usable);
+                    scheduler.fleet.setUsable(worker.id, usable);
                     zonesToSchedule.add(zone);
                 }
             }
@@ -311,13 +311,13 @@
         let whole = 0;
         let total = 0;
         for (const { scheduler } of zones) {
-            for (const worker of scheduler.books.workers.values()) {
+            for (const worker of scheduler.fleet.workers.values()) {
                 if (drained.has(worker.id)) {
                     continue;
                 }
                 total += worker.capacity.accelerators;
                 free += worker.free.accelerators;
-                whole += placement.isWhole(worker) ? worker.free.accelerators : 0;
+                whole += placement.isFullyFree(worker) ? worker.free.accelerators : 0;
             }
         }
         sums.samples++;
@@ -329,7 +329,7 @@
     const simulateInteractiveRequest = () => {
         const { scheduler } = rng.pick(zones);
         const reserve = current.contracts.limits.interactiveReserve;
-        const slots = [...scheduler.books.workers.values()].reduce(
+        const slots = [...scheduler.fleet.workers.values()].reduce(
             (sum, worker) => sum + worker.free.slots + reserve.slots,
             0,
         );
--- a/src/instance/ownedRoles.ts
+++ b/src/instance/ownedRoles.ts
@@ -182,7 +182,7 @@
                     });
                 },
             }),
-        own: (item, signal) => item.own(signal),
+        own: (item, signal) => item.run(signal),
     });
 
     /** Keys of the roles to own. Each includes a hash of the role's configuration, so a change recreates the role. */
--- a/src/placement/fleet.ts
+++ b/src/placement/fleet.ts
@@ -126,7 +126,7 @@
         }
         workersByFree[worker.free.accelerators]!.add(worker);
         freeAccelerators += worker.free.accelerators;
-        if (isWhole(worker)) {
+        if (isFullyFree(worker)) {
             worker.rack.fullyFreeWorkers.add(worker);
             fullyFreeAccelerators += worker.free.accelerators;
         }
@@ -138,7 +138,7 @@
         }
         workersByFree[worker.free.accelerators]!.delete(worker);
         freeAccelerators -= worker.free.accelerators;
-        if (isWhole(worker)) {
+        if (isFullyFree(worker)) {
             worker.rack.fullyFreeWorkers.delete(worker);
             fullyFreeAccelerators -= worker.free.accelerators;
         }
@@ -274,7 +274,7 @@
         getLargestHole: () => {
             for (let level = largestWorker - 1; level > 0; level--) {
                 for (const worker of workersByFree[level]!) {
-                    if (!isWhole(worker) && !worker.reservation && worker.free.slots > 0) {
+                    if (!isFullyFree(worker) && !worker.reservation && worker.free.slots > 0) {
                         return level;
                     }
                 }
@@ -287,7 +287,7 @@
 const NO_WORKERS: ReadonlySet<FleetWorker> = new Set();
 
 /** Whether all accelerators of the worker are free. */
-export function isWhole(worker: FleetWorker): boolean {
+export function isFullyFree(worker: FleetWorker): boolean {
     return worker.free.accelerators === worker.capacity.accelerators && worker.capacity.accelerators > 0;
 }
 
--- a/src/placement/place.ts
+++ b/src/placement/place.ts
@@ -126,7 +126,7 @@
     const freeAt = fleetModule.getFreeAt(worker, now);
     const runMs = Math.max(1, req.predictedEndAt - now);
     const delay = Math.max(0, req.predictedEndAt - freeAt) / runMs;
-    const fragmentsRack = fleetModule.isWhole(worker)
+    const fragmentsRack = fleetModule.isFullyFree(worker)
         ? worker.rack.fullyFreeWorkers.size / worker.rack.workers.length
         : 0;
     const otherHomes = worker.homeTotal - (worker.homes.get(req.account) ?? 0);
--- a/src/queue/attemptEnds.ts
+++ b/src/queue/attemptEnds.ts
@@ -91,7 +91,7 @@
         if (job.failures >= maxFailures) {
             // The job failed on workers that run other jobs without failures, so the job is the cause and its failures
             // no longer count against the workers.
-            health.absolve(job.jobId);
+            health.clearFailuresOf(job.jobId);
         }
         options.onWorkersChanged();
         if (job.repeatable && job.failures < maxFailures) {
--- a/src/queue/decide.ts
+++ b/src/queue/decide.ts
@@ -14,7 +14,7 @@
 /** Runs one pass: calls `actions` for each job to start and each running job to evict. */
 export function runPass(state: decisionState.DecisionState, actions: decisionState.DecisionActions, now: number): void {
     evictFromDrainedWorkers(state, actions);
-    const { policy } = state.terms;
+    const { policy } = state.config;
     switch (policy.kind) {
         case "fifoFirstFit":
             runInOrder(state, actions, now, policy, true);
@@ -30,7 +30,7 @@
 
 /** Maintenance: evicts evictable tasks from drained workers; other tasks run to completion. */
 function evictFromDrainedWorkers(state: decisionState.DecisionState, actions: decisionState.DecisionActions): void {
-    for (const workerId of state.terms.drained) {
+    for (const workerId of state.config.drained) {
         const worker = state.fleet.workers.get(workerId);
         for (const task of worker?.tasks.values() ?? []) {
             if (task.evictable) {
@@ -150,7 +150,7 @@
     now: number,
     policy: configuration.Policy,
 ): void {
-    for (const account of state.terms.accounts) {
+    for (const account of state.config.accounts) {
         if (state.fleet.getHomeWorkers(account.name).length === 0) {
             continue;
         }
@@ -228,7 +228,7 @@
     }
     const failed = bucketHeap.createFailureMemo();
     const total = state.fleet.workers.size * Math.max(1, state.fleet.largestWorker);
-    const guaranteed = new Map(state.terms.accounts.map(item => [item.name, getGuaranteed(state, item.name)]));
+    const guaranteed = new Map(state.config.accounts.map(item => [item.name, getGuaranteed(state, item.name)]));
     const getScore = (job: queuedJob.QueuedJob) => {
         // Computed for each head that is pushed, so that accelerators assigned in this pass already count.
         const overGuarantee = Math.max(0, state.fleet.getUse(job.account) - (guaranteed.get(job.account) ?? 0));
--- a/src/queue/decisionState.ts
+++ b/src/queue/decisionState.ts
@@ -12,7 +12,7 @@
     readonly queue: jobQueue.JobQueue;
     readonly running: ReadonlyMap<string, scheduler.RunningJob>;
     readonly predictor: predictor.Predictor;
-    terms: scheduler.SchedulerTerms;
+    config: scheduler.SchedulerConfig;
     accountsByName: ReadonlyMap<string, configuration.Account>;
     /** Places held for waiting jobs, by job id. */
     readonly held: Map<string, Hold>;
--- a/src/queue/index.ts
+++ b/src/queue/index.ts
@@ -11,7 +11,7 @@
     getTaskId,
     type RunningJob,
     type Scheduler,
-    type SchedulerTerms,
+    type SchedulerConfig,
 } from "./scheduler";
 export { createZoneQueue, type ZoneQueue, type ZoneQueueOptions } from "./zoneQueue";
 export { getShapes, type ZoneStatus } from "./zoneViews";
--- a/src/queue/jobMoves.ts
+++ b/src/queue/jobMoves.ts
@@ -48,7 +48,7 @@
             }
             const entry = entries.get(job.jobId);
             const isDue = entry && now - entry.admittedAt > MIN_WAIT_BEFORE_MOVE_MS
-                && !scheduler.isPlaceKept(job.jobId);
+                && !scheduler.isPlaceHeld(job.jobId);
             const target = isDue ? options.findOtherZone(job) : undefined;
             if (target !== undefined && entry && !entry.active && scheduler.remove(job.jobId)) {
                 moves++;
--- a/src/queue/scheduler.ts
+++ b/src/queue/scheduler.ts
@@ -32,12 +32,12 @@
 
 /** The scheduling state of one zone. */
 export interface Scheduler {
-    readonly books: placement.Fleet;
+    readonly fleet: placement.Fleet;
     readonly queue: jobQueue.JobQueue;
     readonly running: ReadonlyMap<string, RunningJob>;
     readonly predictor: predictor.Predictor;
     /** Replaces what the scheduler uses of the current configuration. */
-    setTerms(terms: SchedulerTerms): void;
+    setConfig(terms: SchedulerConfig): void;
     /** Queues a job. */
     add(job: queuedJob.QueuedJob): void;
     /** Removes a waiting job and its hold; returns `undefined` when the job is not waiting. */
@@ -52,15 +52,15 @@
      */
     end(jobId: string, ranMs: number | undefined): RunningJob | undefined;
     /** Jobs for which a place is held, and the kind of the hold. */
-    getHeld(): ReadonlyArray<{ readonly jobId: string; readonly kind: decisionState.Hold["kind"]; }>;
+    getHolds(): ReadonlyArray<{ readonly jobId: string; readonly kind: decisionState.Hold["kind"]; }>;
     /** Whether work is being stopped to make room for the job; the job must not be moved to another queue then. */
-    isPlaceKept(jobId: string): boolean;
+    isPlaceHeld(jobId: string): boolean;
     /** Runs one pass. Jobs to start are already removed from the queue and registered as running. */
     decide(): Decision[];
 }
 
 /** What the scheduler uses of the configuration. */
-export interface SchedulerTerms {
+export interface SchedulerConfig {
     readonly policy: configuration.Policy;
     readonly accounts: readonly configuration.Account[];
     readonly homes: readonly placement.HomePart[];
@@ -79,7 +79,7 @@
         queue,
         running,
         predictor: runTimePredictor,
-        terms: { policy: { kind: "fifoFirstFit" }, accounts: [], homes: [], drained: new Set() },
+        config: { policy: { kind: "fifoFirstFit" }, accounts: [], homes: [], drained: new Set() },
         accountsByName: new Map(),
         held: new Map(),
         consolidatedAt: 0,
@@ -111,12 +111,12 @@
     };
 
     return {
-        books: fleet,
+        fleet: fleet,
         queue,
         running,
         predictor: runTimePredictor,
-        setTerms: terms => {
-            state.terms = terms;
+        setConfig: terms => {
+            state.config = terms;
             state.accountsByName = new Map(terms.accounts.map(account => [account.name, account]));
             fleet.setHomes(terms.homes);
         },
@@ -129,8 +129,8 @@
             queue.remove(job.jobId);
             addRunning(job, members, time.now() - ranMs);
         },
-        getHeld: () => [...state.held].map(([jobId, hold]) => ({ jobId, kind: hold.kind })),
-        isPlaceKept: jobId => {
+        getHolds: () => [...state.held].map(([jobId, hold]) => ({ jobId, kind: hold.kind })),
+        isPlaceHeld: jobId => {
             const held = state.held.get(jobId);
             return held !== undefined && held.kind !== "reserved";
         },
--- a/src/queue/zoneQueue.ts
+++ b/src/queue/zoneQueue.ts
@@ -28,7 +28,7 @@
 export interface ZoneQueue {
     readonly zone: string;
     /** Runs the queue until the signal is aborted. Running tasks continue and are adopted by the next owner. */
-    own(signal: AbortSignal): Promise<void>;
+    run(signal: AbortSignal): Promise<void>;
     /** Processes a report of one of the zone's racks. */
     handleReport(report: peer.RackReport): peer.RackReportReply;
     /**
@@ -83,12 +83,12 @@
 
     const health = workers.createWorkerHealth({
         clock: time,
-        workerCount: scheduler.books.workers.size,
-        onSetAside: worker => {
+        workerCount: scheduler.fleet.workers.size,
+        onQuarantined: worker => {
             counters.increment("queue.workersSetAside");
             log.warn("worker set aside by its failures", { zone, worker });
         },
-        onBack: worker => log.info("worker back", { zone, worker }),
+        onRestored: worker => log.info("worker back", { zone, worker }),
     });
     const recorder = recorderModule.createRecorder({
         store,
@@ -205,7 +205,7 @@
         const entry = queueEntry.createEntry(stored, toMonotonic, time.now());
         entries.set(entry.job.jobId, entry);
         const { row } = stored;
-        const isKnownPlace = row.members.every(member => scheduler.books.workers.has(member.workerId));
+        const isKnownPlace = row.members.every(member => scheduler.fleet.workers.has(member.workerId));
         if (row.state === "placed" && isKnownPlace) {
             counters.increment("attempts.adopted");
             scheduler.adopt(entry.job, row.members, 0);
@@ -222,32 +222,32 @@
         const { contracts, head } = options.getConfiguration();
         const preset = contracts.presets.find(item => item.name === head.preset);
         const drained = new Set(preset?.drainedWorkers ?? []);
-        for (const worker of scheduler.books.workers.values()) {
+        for (const worker of scheduler.fleet.workers.values()) {
             const usable = rackReports.isUsable(worker.id)
                 && health.isUsable(worker.id)
                 && !drained.has(worker.id)
                 && !options.isLeaving(worker.id);
             if (usable !== worker.usable) {
-                scheduler.books.setUsable(worker.id, usable);
+                scheduler.fleet.setUsable(worker.id, usable);
                 passRequested.resolve();
             }
         }
     };
 
-    let termsKey = "";
+    let configKey = "";
     /** Recomputes the guarantee plan when the configuration, or the set of lost workers, has changed. */
-    const refreshTerms = () => {
+    const refreshConfig = () => {
         const { contracts, topology, head } = options.getConfiguration();
         const preset = contracts.presets.find(item => item.name === head.preset)!;
-        const lost = new Set([...health.getSetAside(), ...rackReports.getLostWorkers()]);
+        const lost = new Set([...health.getQuarantined(), ...rackReports.getLostWorkers()]);
         const key = `${head.revision}|${[...lost].sort().join(",")}`;
-        if (key === termsKey) {
+        if (key === configKey) {
             return;
         }
-        termsKey = key;
+        configKey = key;
         const plan = placement.createPlan(preset, topology, lost);
         unplacedBlocks = plan.unplaced.length;
-        scheduler.setTerms({
+        scheduler.setConfig({
             policy: contracts.policy,
             accounts: contracts.accounts,
             homes: plan.parts,
@@ -306,14 +306,14 @@
     };
 
     const decideLoop = async () => {
-        const racks = scheduler.books.racks.map(rack => rack.id);
+        const racks = scheduler.fleet.racks.map(rack => rack.id);
         const decideAt = time.now() + FIRST_REPORTS_TIMEOUT_MS;
         while (!stopped.signal.aborted) {
             await Promise.race([passRequested.promise, time.sleep(HOUSEKEEPING_INTERVAL_MS, stopped.signal)]);
             await time.sleep(PASS_DELAY_MS, stopped.signal);
             passRequested = async.createDeferred();
             refreshWorkers();
-            refreshTerms();
+            refreshConfig();
             const isComplete = racks.every(rackReports.hasReported);
             if (stopped.signal.aborted || (!isComplete && time.now() < decideAt)) {
                 continue;
@@ -351,13 +351,13 @@
         return entries.has(jobId) ? "queued" : "";
     };
 
-    for (const worker of scheduler.books.workers.values()) {
-        scheduler.books.setUsable(worker.id, false);
+    for (const worker of scheduler.fleet.workers.values()) {
+        scheduler.fleet.setUsable(worker.id, false);
     }
 
     return {
         zone,
-        own: async signal => {
+        run: async signal => {
             signal.addEventListener("abort", () => stopped.abort(), { once: true });
             log.info("queue taken", { zone });
             counters.increment("queues.taken");
--- a/src/queue/zoneViews.ts
+++ b/src/queue/zoneViews.ts
@@ -43,14 +43,14 @@
     const { accounts } = view.getConfiguration().contracts;
     return {
         zone: view.zone,
-        freeAccelerators: view.scheduler.books.getFreeAccelerators(),
-        largestFreeBlock: view.scheduler.books.getLargestFreeBlock(),
-        largestHole: view.scheduler.books.getLargestHole(),
+        freeAccelerators: view.scheduler.fleet.getFreeAccelerators(),
+        largestFreeBlock: view.scheduler.fleet.getLargestFreeBlock(),
+        largestHole: view.scheduler.fleet.getLargestHole(),
         waitingWorkMs,
         unfinished,
         waiting,
         freeGuaranteed: Object.fromEntries(
-            accounts.map(account => [account.name, view.scheduler.books.getLargestFreeGuaranteed(account.name)]),
+            accounts.map(account => [account.name, view.scheduler.fleet.getLargestFreeGuaranteed(account.name)]),
         ),
     };
 }
@@ -58,15 +58,15 @@
 /** The zone's status; `unplacedBlocks` is taken from the current guarantee plan. */
 export function getStatus(view: ZoneView, unplacedBlocks: number): ZoneStatus {
     const { accounts } = view.getConfiguration().contracts;
-    const free = view.scheduler.books.getFreeAccelerators();
+    const free = view.scheduler.fleet.getFreeAccelerators();
     return {
         zone: view.zone,
         waiting: view.scheduler.queue.size(),
         running: view.scheduler.running.size,
         freeAccelerators: free,
-        fragmentation: placement.getFragmentation(free, view.scheduler.books.getFullyFreeAccelerators()),
+        fragmentation: placement.getFragmentation(free, view.scheduler.fleet.getFullyFreeAccelerators()),
         unplacedBlocks,
-        useByAccount: Object.fromEntries(accounts.map(item => [item.name, view.scheduler.books.getUse(item.name)])),
+        useByAccount: Object.fromEntries(accounts.map(item => [item.name, view.scheduler.fleet.getUse(item.name)])),
     };
 }
 
--- a/src/scenario/runScenario.ts
+++ b/src/scenario/runScenario.ts
@@ -102,7 +102,7 @@
             notifyMoved: () => undefined,
         });
         racks.setReceiver(report => stopped.signal.aborted ? undefined : zoneQueue.handleReport(report));
-        void zoneQueue.own(stopped.signal);
+        void zoneQueue.run(stopped.signal);
         owner = { queue: zoneQueue, stop: () => stopped.abort() };
     };
 
--- a/src/workers/health.ts
+++ b/src/workers/health.ts
@@ -14,11 +14,11 @@
     /** Counts the job against the worker; a failure in quarantine doubles its length. */
     recordFailure(workerId: string, jobId: string): void;
     /** Removes the job's failures from all workers, because it fails on healthy ones too. */
-    absolve(jobId: string): void;
+    clearFailuresOf(jobId: string): void;
     /** Whether the worker may take tasks: it is not in quarantine, or its quarantine has run out. */
     isUsable(workerId: string): boolean;
     /** Ids of the workers in quarantine, including those whose quarantine has run out without a success yet. */
-    getSetAside(): string[];
+    getQuarantined(): string[];
 }
 
 /** Options of `createWorkerHealth`. */
@@ -27,9 +27,9 @@
     /** Number of workers; at most half of them are quarantined at a time. */
     readonly workerCount: number;
     /** Called when a worker is quarantined. */
-    readonly onSetAside?: (workerId: string) => void;
+    readonly onQuarantined?: (workerId: string) => void;
     /** Called when a worker's quarantine ends by a success or a cleared failure. */
-    readonly onBack?: (workerId: string) => void;
+    readonly onRestored?: (workerId: string) => void;
 }
 
 interface HealthRecord {
@@ -61,7 +61,7 @@
     const restore = (workerId: string, record: HealthRecord) => {
         if (record.quarantinedUntil !== undefined) {
             record.quarantinedUntil = undefined;
-            options.onBack?.(workerId);
+            options.onRestored?.(workerId);
         }
         record.quarantineMs = MIN_QUARANTINE_MS;
     };
@@ -86,10 +86,10 @@
             const canQuarantine = (getSetAside().length + 1) * 2 <= Math.max(2, options.workerCount);
             if (record.failedJobIds.size >= QUARANTINE_AFTER_JOBS && canQuarantine) {
                 record.quarantinedUntil = options.clock.now() + record.quarantineMs;
-                options.onSetAside?.(workerId);
+                options.onQuarantined?.(workerId);
             }
         },
-        absolve: jobId => {
+        clearFailuresOf: jobId => {
             for (const [workerId, record] of records) {
                 if (record.failedJobIds.delete(jobId) && record.failedJobIds.size < QUARANTINE_AFTER_JOBS) {
                     restore(workerId, record);
@@ -100,6 +100,6 @@
             const endsAt = records.get(workerId)?.quarantinedUntil;
             return endsAt === undefined || options.clock.now() >= endsAt;
         },
-        getSetAside,
+        getQuarantined: getSetAside,
     };
 }
--- a/src/workers/rackOwner.ts
+++ b/src/workers/rackOwner.ts
@@ -82,11 +82,11 @@
     const health = healthModule.createWorkerHealth({
         clock: time,
         workerCount: rack.workers.length,
-        onSetAside: worker => {
+        onQuarantined: worker => {
             counters.increment("workers.setAside");
             log.warn("worker set aside", { worker });
         },
-        onBack: worker => log.info("worker back", { worker }),
+        onRestored: worker => log.info("worker back", { worker }),
     });
     const allocations = rackAllocations.createRackAllocations(
         () => options.capacity,
