--- a/src/placement/needs.ts
+++ b/src/placement/needs.ts
@@ -2,7 +2,7 @@
 import type * as workers from "../workers/index";
 
 /** Amounts of each resource: needed by a task, or of a worker's capacity. */
-export type Needs = workers.TaskNeeds;
+export type Needs = workers.TaskResources;
 
 /** Zero of every resource. */
 export const NO_NEEDS: Needs = { accelerators: 0, slots: 0, cpus: 0, memoryMb: 0 };
--- a/src/queue/attempt.ts
+++ b/src/queue/attempt.ts
@@ -110,7 +110,7 @@
             account: entry.job.account,
             needs: members[index]!.needs,
             queueZone: entry.stored.row.zone,
-            note: workers.writeNote({
+            note: workers.formatTaskNote({
                 jobId: entry.job.jobId,
                 attempt: entry.job.attempt,
                 index,
--- a/src/queue/reports.ts
+++ b/src/queue/reports.ts
@@ -84,8 +84,8 @@
 
     /** Processes one reported task and adds it to the reply if it may be forgotten or is confirmed. */
     const recordTask = (rackId: string, task: peer.TaskReport, reply: peer.RackReportReply) => {
-        const note = workers.readNote(task.note);
-        const [jobId, attempt, index] = workers.splitTaskId(task.taskId);
+        const note = workers.parseTaskNote(task.note);
+        const [jobId, attempt, index] = workers.parseTaskId(task.taskId);
         const entry = entries.get(jobId);
         if (!entry && !closedJobs.has(jobId)) {
             // The task's end may not be recorded yet; letting the rack forget the task now could lose it.
--- a/src/scenario/fakeRacks.ts
+++ b/src/scenario/fakeRacks.ts
@@ -111,7 +111,7 @@
         if (task.state !== "prepared") {
             return;
         }
-        const note = workers.readNote(task.create.note);
+        const note = workers.parseTaskNote(task.create.note);
         const work = JSON.parse(task.create.payload) as FakeWork;
         task.state = "running";
         task.record = {
--- a/src/workers/rackOwner.ts
+++ b/src/workers/rackOwner.ts
@@ -168,7 +168,7 @@
             if (status.state !== "finished" || status.queueZone === "" || storedAnswers.has(status.taskId)) {
                 continue;
             }
-            const [jobId, attempt, index] = splitTaskId(status.taskId);
+            const [jobId, attempt, index] = parseTaskId(status.taskId);
             if (index !== "0") {
                 storedAnswers.set(status.taskId, { digest: "", length: 0 });
                 continue;
@@ -256,7 +256,7 @@
 }
 
 /** Splits the id of a queued task; parts that are missing are empty. */
-export function splitTaskId(taskId: string): [jobId: string, attempt: string, index: string] {
+export function parseTaskId(taskId: string): [jobId: string, attempt: string, index: string] {
     const [jobId = "", attempt = "", index = ""] = taskId.split(".");
     return [jobId, attempt, index];
 }
--- a/src/workers/taskNote.ts
+++ b/src/workers/taskNote.ts
@@ -17,12 +17,12 @@
 const EMPTY_NOTE: TaskNote = { jobId: "", attempt: 0, index: 0, members: 0, evictable: false, urgent: false };
 
 /** Encodes a note as JSON. */
-export function writeNote(note: TaskNote): string {
+export function formatTaskNote(note: TaskNote): string {
     return JSON.stringify(note);
 }
 
 /** Decodes a note; an invalid text yields a note with an empty job id and no members. */
-export function readNote(text: string): TaskNote {
+export function parseTaskNote(text: string): TaskNote {
     if (text === "") {
         return EMPTY_NOTE;
     }
--- a/src/workers/workerPort.ts
+++ b/src/workers/workerPort.ts
@@ -6,7 +6,7 @@
  */
 
 /** Resources that a task requires of one worker; memory in mebibytes. */
-export interface TaskNeeds {
+export interface TaskResources {
     readonly accelerators: number;
     readonly slots: number;
     readonly cpus: number;
@@ -31,7 +31,7 @@
 export interface TaskStatus {
     readonly taskId: string;
     readonly state: TaskState;
-    readonly needs: TaskNeeds;
+    readonly needs: TaskResources;
     /** Zone whose queue owner must learn of the task's end; empty for interactive requests. */
     readonly queueZone: string;
     /** Free text set by the creator of the task or tombstone. */
@@ -63,7 +63,7 @@
 export interface TaskOrder {
     readonly taskId: string;
     readonly account: string;
-    readonly needs: TaskNeeds;
+    readonly needs: TaskResources;
     readonly queueZone: string;
     readonly note: string;
     readonly payload: string;
--- a/src/workers/workerSession.ts
+++ b/src/workers/workerSession.ts
@@ -71,7 +71,7 @@
  * may; a member that has run for longer than a task lease was renewed before, so its gang was confirmed.
  */
 function wasConfirmedBefore(status: port.TaskStatus, leases: LeaseTimes): boolean {
-    return taskNote.readNote(status.note).members === 1 || status.ranMs > leases.taskMs;
+    return taskNote.parseTaskNote(status.note).members === 1 || status.ranMs > leases.taskMs;
 }
 
 /** Creates a session without a lease; `run` acquires one. */
--- a/standins/site/violations.ts
+++ b/standins/site/violations.ts
@@ -64,7 +64,7 @@
     const runs = new Map<string, RunCounts>();
     for (const entry of journal) {
         const { mark } = worker.readPayload(entry.payload);
-        const { index } = workers.readNote(entry.note);
+        const { index } = workers.parseTaskNote(entry.note);
         const counted = runs.get(mark) ?? { starts: 0, completions: 0 };
         runs.set(mark, counted);
         if (index === 0) {
@@ -78,7 +78,7 @@
 function countPartialGangs(journal: readonly worker.JournalEntry[], now: number): number {
     const attempts = new Map<string, worker.JournalEntry[]>();
     for (const entry of journal) {
-        const note = workers.readNote(entry.note);
+        const note = workers.parseTaskNote(entry.note);
         if (note.members > 1) {
             const key = `${note.jobId}.${note.attempt}`;
             attempts.set(key, [...attempts.get(key) ?? [], entry]);
@@ -86,7 +86,7 @@
     }
     let partial = 0;
     for (const entries of attempts.values()) {
-        const { members } = workers.readNote(entries[0]!.note);
+        const { members } = workers.parseTaskNote(entries[0]!.note);
         const longest = Math.max(...entries.map(entry => (entry.endedAt ?? now) - entry.startedAt));
         partial += entries.length < members && longest > GANG_GRACE_MS ? 1 : 0;
     }
--- a/standins/worker/workerCore.ts
+++ b/standins/worker/workerCore.ts
@@ -8,7 +8,7 @@
 export interface WorkerCoreOptions {
     readonly id: string;
     readonly clock: clock.Clock;
-    readonly capacity: workers.TaskNeeds;
+    readonly capacity: workers.TaskResources;
     readonly incarnation: number;
     readonly journal: journal.Journal;
     /** Time to save a task's progress. */
@@ -22,7 +22,7 @@
     /** Ends all tasks and forgets them, as a crash of the worker does. */
     crash(): void;
     /** Returns the capacity that no task holds. */
-    getFreeResources(): workers.TaskNeeds;
+    getFreeResources(): workers.TaskResources;
 }
 
 interface Task {
@@ -43,7 +43,7 @@
 
 /** Time for which ended tasks and tombstones are kept unless they are acknowledged earlier. */
 const ENDED_TASK_RETENTION_MS = 600_000;
-const NO_NEEDS: workers.TaskNeeds = { accelerators: 0, slots: 0, cpus: 0, memoryMb: 0 };
+const NO_NEEDS: workers.TaskResources = { accelerators: 0, slots: 0, cpus: 0, memoryMb: 0 };
 const noop = () => undefined;
 
 export function createWorkerCore(options: WorkerCoreOptions): WorkerCore {
@@ -56,7 +56,7 @@
     let lease: { holder: string; token: number; expiresAt: number; } | undefined;
     let lastToken = 0;
     let sequence = 0;
-    let used: workers.TaskNeeds = NO_NEEDS;
+    let used: workers.TaskResources = NO_NEEDS;
 
     const fault = <T>(value: workers.WorkerFault): workers.WorkerResult<T> => ({ kind: "fault", fault: value });
     const ok = <T>(value: T): workers.WorkerResult<T> => ({ kind: "ok", value });
@@ -372,7 +372,7 @@
     };
 }
 
-function combine(a: workers.TaskNeeds, b: workers.TaskNeeds, sign: 1 | -1): workers.TaskNeeds {
+function combine(a: workers.TaskResources, b: workers.TaskResources, sign: 1 | -1): workers.TaskResources {
     return {
         accelerators: a.accelerators + sign * b.accelerators,
         slots: a.slots + sign * b.slots,
@@ -381,7 +381,7 @@
     };
 }
 
-function fits(used: workers.TaskNeeds, capacity: workers.TaskNeeds): boolean {
+function fits(used: workers.TaskResources, capacity: workers.TaskResources): boolean {
     return used.accelerators <= capacity.accelerators
         && used.slots <= capacity.slots
         && used.cpus <= capacity.cpus
