--- a/src/backing/guardedTable.ts
+++ b/src/backing/guardedTable.ts
@@ -39,7 +39,7 @@
     /** Keys read per second; a scan counts as one key. */
     readonly readsPerSecond: number;
     /** Consecutive failures that open the breaker. */
-    readonly breakerFailures: number;
+    readonly maxConsecutiveFailures: number;
     /** Maximum time a call waits for the rate limit; after that it fails without being sent. */
     readonly maxWaitMs: number;
 }
@@ -103,7 +103,7 @@
 }
 
 function createBreaker(options: GuardedTableOptions): Breaker {
-    const { clock, retry, breakerFailures, counters } = options;
+    const { clock, retry, maxConsecutiveFailures: breakerFailures, counters } = options;
     let consecutiveFailures = 0;
     let nextProbeAt = 0;
     let probing = false;
--- a/src/broker/httpService.ts
+++ b/src/broker/httpService.ts
@@ -140,7 +140,7 @@
 }
 
 /** Converts a refusal to the answer format that all listeners share. */
-export function refusalAnswer(refusal: result.Refusal, requestId?: string): HttpAnswer {
+export function createRefusalAnswer(refusal: result.Refusal, requestId?: string): HttpAnswer {
     const info = result.getResultInfo(refusal.code);
     const retryAfterMs = refusal.retryAfterMs ?? 0;
     return {
@@ -160,7 +160,7 @@
 /** Answers errors from before an action runs: an unknown path, or a body that is too large or not JSON. */
 function sendError(res: http.ServerResponse, err: RouteError): void {
     const refusal = toRefusal(err);
-    const answer = refusalAnswer(refusal);
+    const answer = createRefusalAnswer(refusal);
     if (res.headersSent) {
         res.destroy();
         return;
--- a/src/broker/index.ts
+++ b/src/broker/index.ts
@@ -2,9 +2,9 @@
 export { createBroker } from "./broker";
 export {
     createHttpService,
+    createRefusalAnswer,
     type HttpAnswer,
     type HttpCall,
     type HttpRoute,
     type HttpServiceOptions,
-    refusalAnswer,
 } from "./httpService";
--- a/src/configuration/configurationReader.ts
+++ b/src/configuration/configurationReader.ts
@@ -25,9 +25,9 @@
     /** A document that this instance holds, for peers that cannot reach the store; `undefined` when it is not held. */
     getDocument(digest: string): string | undefined;
     /** Milliseconds since the head was last read from the store; Infinity when it never was. */
-    getUnconfirmedMs(): number;
+    getStalenessMs(): number;
     /** If the peer's revision is newer than the known one, reads it now, from the store or else from the peer. */
-    hint(newest: number, peer: ConfigurationSource): void;
+    fetchIfNewer(newest: number, peer: ConfigurationSource): void;
     /** The listener is called each time another revision comes into force. Returns a function that removes it. */
     registerListener(listener: (current: revision.Configuration) => void): () => void;
     /** Reads the head once, now. Resolves to false when the store did not answer. */
@@ -165,8 +165,8 @@
         getNewestRevision,
         getNewestHead: () => getNewest()?.head,
         getDocument: digest => documents.get(digest),
-        getUnconfirmedMs: () => time.now() - confirmedAt,
-        hint: (newest, peer) => {
+        getStalenessMs: () => time.now() - confirmedAt,
+        fetchIfNewer: (newest, peer) => {
             if (isFetching || newest <= getNewestRevision()) {
                 return;
             }
--- a/src/configuration/configurationStore.ts
+++ b/src/configuration/configurationStore.ts
@@ -35,7 +35,7 @@
     /** Time from the acceptance of a change until it takes effect. */
     readonly leadMs: number;
     /** How long the outcome of a write with a lost answer is looked up before it is reported as unresolved. */
-    readonly resolveMs: number;
+    readonly resolveTimeoutMs: number;
 }
 
 const { Priority } = platform;
@@ -131,7 +131,7 @@
      * force is not.
      */
     const resolveChange = async (req: ChangeRequest): Promise<ChangeResult> => {
-        const giveUpAt = time.now() + options.resolveMs;
+        const giveUpAt = time.now() + options.resolveTimeoutMs;
         for (let attempt = 1; time.now() < giveUpAt; attempt++) {
             const operation = await readOperation(req.operationId);
             if (operation.kind === "read" && operation.value) {
--- a/src/entry/callersHttp.ts
+++ b/src/entry/callersHttp.ts
@@ -49,14 +49,14 @@
         const account = options.authenticate(call.key);
         if (!account) {
             const message = "the key is missing, unknown or expired";
-            return broker.refusalAnswer(result.createRefusal(result.ResultCode.Unauthorized, message));
+            return broker.createRefusalAnswer(result.createRefusal(result.ResultCode.Unauthorized, message));
         }
         const exit = options.activity.enter();
         try {
             return await handle(account, call);
         }
         catch (err) {
-            return broker.refusalAnswer(result.refusalFromUnknown(err));
+            return broker.createRefusalAnswer(result.refusalFromUnknown(err));
         }
         finally {
             exit();
@@ -66,7 +66,7 @@
     const submit = async (account: configuration.Account, call: broker.HttpCall): Promise<broker.HttpAnswer> => {
         const submitted = submission.parseSubmission(call.body);
         if (!submitted.ok) {
-            return broker.refusalAnswer(submitted.refusal);
+            return broker.createRefusalAnswer(submitted.refusal);
         }
         if (submitted.value.class === "interactive") {
             return toInteractiveAnswer(await api.submitInteractive(account, submitted.value));
@@ -95,7 +95,7 @@
             action: "result",
             handle: withAccount(async (account, call) => {
                 const found = await api.getResult(account, call.path["requestId"]!);
-                return found.ok ? { status: 200, body: found.value } : broker.refusalAnswer(found.refusal);
+                return found.ok ? { status: 200, body: found.value } : broker.createRefusalAnswer(found.refusal);
             }),
         },
     ];
@@ -116,15 +116,15 @@
             return { status: 200, body: outcome.body, headers: { [REQUEST_ID_HEADER]: outcome.requestId } };
         case "failed": {
             const failure = result.createRefusal(result.ResultCode.TaskFailed, outcome.message);
-            return broker.refusalAnswer(failure, outcome.requestId);
+            return broker.createRefusalAnswer(failure, outcome.requestId);
         }
         case "refused":
-            return broker.refusalAnswer(outcome.refusal, outcome.requestId);
+            return broker.createRefusalAnswer(outcome.refusal, outcome.requestId);
     }
 }
 
 function toJobAnswer(view: result.Result<callersApi.JobView>, status: number): broker.HttpAnswer {
     return view.ok
         ? { status, body: view.value, headers: { [REQUEST_ID_HEADER]: view.value.requestId } }
-        : broker.refusalAnswer(view.refusal);
+        : broker.createRefusalAnswer(view.refusal);
 }
--- a/src/instance/heartbeats.ts
+++ b/src/instance/heartbeats.ts
@@ -25,12 +25,12 @@
 /** Keeps one loop per chosen peer until the signal is aborted; waits for all loops to end. */
 export async function runHeartbeats(
     options: HeartbeatOptions,
-    holdings: ownership.Holdings<string>,
+    holdings: ownership.OwnedItems<string>,
     signal: AbortSignal,
 ): Promise<void> {
     while (!signal.aborted) {
-        holdings.adjust(new Set(choosePeers(options)));
-        options.connections.retain(new Set(options.view.getPeers().map(member => member.peerAddress)));
+        holdings.reconcile(new Set(choosePeers(options)));
+        options.connections.closeExcept(new Set(options.view.getPeers().map(member => member.peerAddress)));
         await options.clock.sleep(ADJUST_INTERVAL_MS, signal);
     }
     await holdings.close();
@@ -69,11 +69,11 @@
             const calls = options.connections.get(member);
             const reply = await calls.heartbeat(options.createHeartbeat(), options.intervalMs * 2);
             if (reply) {
-                view.noteHeartbeat(reply, member.peerAddress);
-                reader.hint(reply.newestRevision, createPeerSource(calls, options.intervalMs));
+                view.recordHeartbeat(reply, member.peerAddress);
+                reader.fetchIfNewer(reply.newestRevision, createPeerSource(calls, options.intervalMs));
             }
             else {
-                view.noteFailure(peerId);
+                view.recordCallFailure(peerId);
             }
             options.onChange();
         }
--- a/src/instance/instance.ts
+++ b/src/instance/instance.ts
@@ -105,16 +105,16 @@
         retry,
         writesPerSecond: cfg.platform.writesPerSecond,
         readsPerSecond: cfg.platform.readsPerSecond,
-        breakerFailures: 3,
+        maxConsecutiveFailures: 3,
         maxWaitMs: 2000,
     });
-    const store = jobs.createJobStore({ table, clock: time, retry, resolveMs: RESOLVE_TIMEOUT_MS });
+    const store = jobs.createJobStore({ table, clock: time, retry, resolveTimeoutMs: RESOLVE_TIMEOUT_MS });
     const configurationStore = configuration.createConfigurationStore({
         table,
         clock: time,
         retry,
         leadMs: cfg.site.leadMs,
-        resolveMs: RESOLVE_TIMEOUT_MS,
+        resolveTimeoutMs: RESOLVE_TIMEOUT_MS,
     });
     const reader = configuration.createConfigurationReader({
         store: configurationStore,
@@ -123,7 +123,7 @@
         log,
         pollMs: cfg.site.pollMs,
     });
-    const credentials = peer.createTlsFiles(cfg.tls);
+    const credentials = peer.createPeerCredentials(cfg.tls);
     const connections = peer.createPeerConnections({
         credentials,
         counters,
@@ -261,7 +261,7 @@
 
     const getStatus = (): InstanceStatus => {
         const current = reader.getCurrent();
-        const unconfirmedMs = reader.getUnconfirmedMs();
+        const unconfirmedMs = reader.getStalenessMs();
         return {
             instance: id,
             zone,
@@ -299,7 +299,7 @@
             await services.membership.announce({ ...self, state: leaving ? "leaving" : "live" });
             const snapshot = await services.membership.list();
             if (snapshot) {
-                view.noteSnapshot(snapshot);
+                view.applySnapshot(snapshot);
                 settled = settled || snapshot.instances.some(item => item.id === id);
                 adjustRoles();
             }
@@ -360,10 +360,10 @@
                 createHeartbeat,
                 onChange: adjustRoles,
             };
-            const peers = ownership.createHoldings<string>({
+            const peers = ownership.createOwnedItems<string>({
                 log,
                 create: key => key,
-                own: (key, signal) => heartbeats.exchangeHeartbeats(heartbeatOptions, key, signal),
+                run: (key, signal) => heartbeats.exchangeHeartbeats(heartbeatOptions, key, signal),
             });
             startLoop(heartbeats.runHeartbeats(heartbeatOptions, peers, running.signal));
             serviceBroker.createService(callersSchema);
--- a/src/instance/ownedRoles.ts
+++ b/src/instance/ownedRoles.ts
@@ -94,7 +94,7 @@
     const isDrained = (workerId: string): boolean => {
         const current = reader.getCurrent();
         const preset = current?.contracts.presets.find(item => item.name === current.head.preset);
-        return view.isLeaving(workerId) || (preset?.drainedWorkers.includes(workerId) ?? false);
+        return view.isWorkerLeaving(workerId) || (preset?.drainedWorkers.includes(workerId) ?? false);
     };
 
     /** Calls to this instance have the same interface as calls to others, but do not use the network. */
@@ -133,7 +133,7 @@
         return callOwner(owners.getQueueOwner(zone), call);
     };
 
-    const racks = ownership.createHoldings<workers.RackOwner>({
+    const racks = ownership.createOwnedItems<workers.RackOwner>({
         log,
         create: key => {
             const { topology } = getCurrent();
@@ -155,10 +155,10 @@
                 sendReport: report => callQueueOwner(report.zone, calls => calls.reportRack(report, REPORT_TIMEOUT_MS)),
             });
         },
-        own: (rack, signal) => rack.own(signal),
+        run: (rack, signal) => rack.own(signal),
     });
 
-    const queues = ownership.createHoldings<queue.ZoneQueue>({
+    const queues = ownership.createOwnedItems<queue.ZoneQueue>({
         log,
         create: key =>
             queue.createZoneQueue({
@@ -171,7 +171,7 @@
                 leases: cfg.leases,
                 store: options.store,
                 getConfiguration: getCurrent,
-                isLeaving: view.isLeaving,
+                isLeaving: view.isWorkerLeaving,
                 command: command => callRackOwner(command.rackId, calls => calls.command(command, COMMAND_TIMEOUT_MS)),
                 findOtherZone: job => options.findOtherZone(job, getRoleName(key)),
                 notifyMoved: (zone, jobId) => {
@@ -182,7 +182,7 @@
                     });
                 },
             }),
-        own: (item, signal) => item.run(signal),
+        run: (item, signal) => item.run(signal),
     });
 
     /** Keys of the roles to own. Each includes a hash of the role's configuration, so a change recreates the role. */
@@ -236,8 +236,8 @@
                 return;
             }
             const wanted = getWantedKeys();
-            racks.adjust(wanted.rackKeys);
-            queues.adjust(wanted.queueKeys);
+            racks.reconcile(wanted.rackKeys);
+            queues.reconcile(wanted.queueKeys);
         },
         callRackOwner,
         callQueueOwner,
--- a/src/instance/peerService.ts
+++ b/src/instance/peerService.ts
@@ -20,7 +20,7 @@
     const { reader, view } = options;
     return {
         heartbeat: async heartbeat => {
-            view.noteHeartbeat(heartbeat, undefined);
+            view.recordHeartbeat(heartbeat, undefined);
             return options.createHeartbeat();
         },
         run: async req => {
--- a/src/jobs/jobStore.ts
+++ b/src/jobs/jobStore.ts
@@ -41,7 +41,7 @@
     readonly clock: clock.Clock;
     readonly retry: platform.RetryPolicy;
     /** How long a write with a lost answer is retried to learn its outcome. */
-    readonly resolveMs: number;
+    readonly resolveTimeoutMs: number;
 }
 
 const { Priority } = platform;
@@ -65,7 +65,7 @@
      * because the first request may still be in transit and take effect later.
      */
     const resolveWrite = async (row: jobRow.JobRow, writes: readonly platform.TableWrite[]): Promise<WriteResult> => {
-        const giveUpAt = time.now() + options.resolveMs;
+        const giveUpAt = time.now() + options.resolveTimeoutMs;
         for (let attempt = 1; time.now() < giveUpAt; attempt++) {
             await time.sleep(options.retry.getDelay(attempt));
             const retried = await table.transact(Priority.Outcome, writes);
--- a/src/membership/membershipView.ts
+++ b/src/membership/membershipView.ts
@@ -31,13 +31,13 @@
     /** The latest heartbeats of all peers that sent one within `failAfterMs`. */
     getHeartbeats(): readonly peer.HeartbeatMessage[];
     /** Whether the platform lists the worker as leaving. */
-    isLeaving(workerId: string): boolean;
+    isWorkerLeaving(workerId: string): boolean;
     /** Applies the platform's list. */
-    noteSnapshot(snapshot: platform.MembershipSnapshot): void;
+    applySnapshot(snapshot: platform.MembershipSnapshot): void;
     /** Records a heartbeat. Without an address, that of the known peer is used; unknown peers are then ignored. */
-    noteHeartbeat(heartbeat: peer.HeartbeatMessage, peerAddress: string | undefined): void;
+    recordHeartbeat(heartbeat: peer.HeartbeatMessage, peerAddress: string | undefined): void;
     /** Records that a call to the peer failed. */
-    noteFailure(id: string): void;
+    recordCallFailure(id: string): void;
     /** Marks this instance as leaving. */
     setLeaving(): void;
 }
@@ -111,8 +111,8 @@
         getPeer: id => knownPeers.get(id)?.peer,
         getHeartbeat: id => getFreshHeartbeat(knownPeers.get(id)),
         getHeartbeats: () => [...knownPeers.values()].flatMap(item => getFreshHeartbeat(item) ?? []),
-        isLeaving: workerId => leavingWorkers.has(workerId),
-        noteSnapshot: snapshot => {
+        isWorkerLeaving: workerId => leavingWorkers.has(workerId),
+        applySnapshot: snapshot => {
             for (const item of knownPeers.values()) {
                 item.listed = false;
             }
@@ -133,7 +133,7 @@
                 snapshot.workers.filter(worker => worker.state === "leaving").map(worker => worker.id),
             );
         },
-        noteHeartbeat: (heartbeat, peerAddress) => {
+        recordHeartbeat: (heartbeat, peerAddress) => {
             const address = peerAddress ?? knownPeers.get(heartbeat.instanceId)?.peer.peerAddress;
             if (address === undefined || heartbeat.instanceId === self.id) {
                 return;
@@ -146,7 +146,7 @@
                 item.failedAt = undefined;
             }
         },
-        noteFailure: id => {
+        recordCallFailure: id => {
             const item = knownPeers.get(id);
             if (item) {
                 item.failedAt = time.now();
--- a/src/operator/operatorsHttp.ts
+++ b/src/operator/operatorsHttp.ts
@@ -39,7 +39,7 @@
     async (call: broker.HttpCall): Promise<broker.HttpAnswer> => {
         if (!options.authenticate(call.key)) {
             const message = "the operator's key is missing, unknown or expired";
-            return broker.refusalAnswer(result.createRefusal(result.ResultCode.Unauthorized, message));
+            return broker.createRefusalAnswer(result.createRefusal(result.ResultCode.Unauthorized, message));
         }
         try {
             return await handle(call, reader.getCurrent()!);
@@ -48,7 +48,7 @@
             const refusal = err instanceof z.ZodError
                 ? result.createRefusal(result.ResultCode.BadRequest, describeIssue(err))
                 : result.refusalFromUnknown(err);
-            return broker.refusalAnswer(refusal);
+            return broker.createRefusalAnswer(refusal);
         }
     };
 
@@ -60,18 +60,18 @@
         const newest = await reader.readNewest();
         if (!newest) {
             const message = "the table service did not answer; nothing changed";
-            return broker.refusalAnswer(
+            return broker.createRefusalAnswer(
                 result.createRefusal(result.ResultCode.StoreUnavailable, message, { retryAfterMs: 2000 }),
             );
         }
         const edited = edit(newest);
         if (!edited.ok) {
-            return broker.refusalAnswer(edited.refusal);
+            return broker.createRefusalAnswer(edited.refusal);
         }
         const { contracts, preset } = edited.value;
         const problem = findProblem(contracts, newest.topology, preset);
         if (problem !== undefined) {
-            return broker.refusalAnswer(result.createRefusal(result.ResultCode.ConfigurationInvalid, problem));
+            return broker.createRefusalAnswer(result.createRefusal(result.ResultCode.ConfigurationInvalid, problem));
         }
         const changed = await store.change({
             operationId: base.operationId,
@@ -81,7 +81,7 @@
             preset,
         });
         await reader.poll();
-        return changed.ok ? { status: 200, body: changed.value } : broker.refusalAnswer(changed.refusal);
+        return changed.ok ? { status: 200, body: changed.value } : broker.createRefusalAnswer(changed.refusal);
     };
 
     return [
--- a/src/ownership/holdings.ts
+++ b/src/ownership/ownedItems.ts
@@ -4,7 +4,7 @@
 import * as result from "../result/index";
 
 /** Running items by key. */
-export interface Holdings<T> {
+export interface OwnedItems<T> {
     /** The running item; `undefined` when there is none under the key. */
     get(key: string): T | undefined;
     getAll(): readonly T[];
@@ -12,17 +12,17 @@
      * Stops items whose keys are not wanted and starts those that are wanted and not running. An item that is still
      * stopping is started by a later call.
      */
-    adjust(wanted: ReadonlySet<string>): void;
+    reconcile(wanted: ReadonlySet<string>): void;
     /** Stops all items and waits until they have stopped. */
     close(): Promise<void>;
 }
 
-interface HoldingsOptions<T> {
+interface OwnedItemsOptions<T> {
     readonly log: observe.Log;
     /** Creates the item of a key. */
     readonly create: (key: string) => T;
     /** Runs an item until the signal is aborted. */
-    readonly own: (item: T, signal: AbortSignal) => Promise<void>;
+    readonly run: (item: T, signal: AbortSignal) => Promise<void>;
 }
 
 interface RunningItem<T> {
@@ -32,14 +32,14 @@
 }
 
 /** Creates an empty set of items. */
-export function createHoldings<T>(options: HoldingsOptions<T>): Holdings<T> {
+export function createOwnedItems<T>(options: OwnedItemsOptions<T>): OwnedItems<T> {
     const running = new Map<string, RunningItem<T>>();
     const stopping = new Map<string, Promise<void>>();
 
     const start = (key: string) => {
         const item = options.create(key);
         const controller = async.createAbortController();
-        const done = options.own(item, controller.signal).catch(err => {
+        const done = options.run(item, controller.signal).catch(err => {
             options.log.error("holding failed", { key, cause: result.getErrorMessage(err) });
         });
         running.set(key, { item, controller, done });
@@ -56,7 +56,7 @@
     return {
         get: key => running.get(key)?.item,
         getAll: () => [...running.values()].map(item => item.item),
-        adjust: wanted => {
+        reconcile: wanted => {
             for (const [key, item] of [...running]) {
                 if (!wanted.has(key)) {
                     stop(key, item);
--- a/src/peer/__tests__/tls.test.ts
+++ b/src/peer/__tests__/tls.test.ts
@@ -90,18 +90,18 @@
         notifyJob: refuseAll,
         getConfiguration: refuseAll,
     };
-    const server = await peer.startPeerServer("127.0.0.1:0", service, peer.createTlsFiles(serverFiles));
+    const server = await peer.startPeerServer("127.0.0.1:0", service, peer.createPeerCredentials(serverFiles));
     const clientFiles = writeFiles("client", authority, authority);
     const outcomes = {
-        sameAuthority: await call(server.address, peer.createTlsFiles(clientFiles)),
+        sameAuthority: await call(server.address, peer.createPeerCredentials(clientFiles)),
         otherAuthority: await call(
             server.address,
-            peer.createTlsFiles(writeFiles("other", otherAuthority, authority)),
+            peer.createPeerCredentials(writeFiles("other", otherAuthority, authority)),
         ),
-        withoutTls: await call(server.address, peer.createTlsFiles(undefined)),
+        withoutTls: await call(server.address, peer.createPeerCredentials(undefined)),
         untrustedServer: await call(
             server.address,
-            peer.createTlsFiles(writeFiles("untrusting", authority, otherAuthority)),
+            peer.createPeerCredentials(writeFiles("untrusting", authority, otherAuthority)),
         ),
     };
     expect(outcomes).toEqual({
@@ -112,7 +112,7 @@
     });
     // The site changes its authority: the files are replaced while the server runs.
     writeFiles("server", otherAuthority, otherAuthority);
-    const rotated = peer.createTlsFiles(writeFiles("rotated", otherAuthority, otherAuthority));
+    const rotated = peer.createPeerCredentials(writeFiles("rotated", otherAuthority, otherAuthority));
     let accepted = false;
     for (let attempt = 0; attempt < 60 && !accepted; attempt++) {
         accepted = await call(server.address, rotated);
--- a/src/peer/connections.ts
+++ b/src/peer/connections.ts
@@ -1,10 +1,10 @@
 /** gRPC connections to other instances: one channel per address, opened on first use. */
 import * as grpc from "@grpc/grpc-js";
 import type * as observe from "../observe/index";
+import type * as tlsFiles from "./credentials";
 import * as generated from "./peer.generated";
 import type * as peerService from "./peerService";
 import * as server from "./server";
-import type * as tlsFiles from "./tlsFiles";
 
 /** Calls to one peer. Each resolves to `undefined` when no answer arrived in time; it may still have been executed. */
 export type PeerCalls = {
@@ -19,7 +19,7 @@
     /** The calls to a peer. */
     get(peer: { readonly id: string; readonly zone: string; readonly peerAddress: string; }): PeerCalls;
     /** Closes the channels to all addresses that are not in the set. */
-    retain(addresses: ReadonlySet<string>): void;
+    closeExcept(addresses: ReadonlySet<string>): void;
     /** Closes all channels. */
     close(): void;
 }
@@ -70,7 +70,7 @@
                 getConfiguration: call(channel.getConfiguration.bind(channel)),
             };
         },
-        retain: addresses => {
+        closeExcept: addresses => {
             for (const [address, channel] of channels) {
                 if (!addresses.has(address)) {
                     channels.delete(address);
--- a/src/peer/tlsFiles.ts
+++ b/src/peer/credentials.ts
@@ -22,7 +22,7 @@
  * The address in a certificate is not checked, because instances are often replaced at other addresses. Without files,
  * the connections are not encrypted.
  */
-export function createTlsFiles(files: TlsFiles | undefined): PeerCredentials {
+export function createPeerCredentials(files: TlsFiles | undefined): PeerCredentials {
     if (!files) {
         return { server: grpc.ServerCredentials.createInsecure(), channel: grpc.credentials.createInsecure() };
     }
--- a/src/peer/index.ts
+++ b/src/peer/index.ts
@@ -1,5 +1,6 @@
 /** gRPC messages, connections and server between instances. */
 export { createPeerConnections, type PeerConnections } from "./connections";
+export { createPeerCredentials, type PeerCredentials, type TlsFiles } from "./credentials";
 export type {
     Answer,
     CommandResult,
@@ -24,4 +25,3 @@
 } from "./peer.generated";
 export type { PeerService } from "./peerService";
 export { type PeerServer, startPeerServer } from "./server";
-export { createTlsFiles, type PeerCredentials, type TlsFiles } from "./tlsFiles";
--- a/src/peer/server.ts
+++ b/src/peer/server.ts
@@ -1,9 +1,9 @@
 /** gRPC server of an instance's peer service. */
 import * as grpc from "@grpc/grpc-js";
 import * as result from "../result/index";
+import type * as tlsFiles from "./credentials";
 import * as generated from "./peer.generated";
 import type * as peerService from "./peerService";
-import type * as tlsFiles from "./tlsFiles";
 
 /** A running server. */
 export interface PeerServer {
--- a/src/placement/fleet.ts
+++ b/src/placement/fleet.ts
@@ -187,14 +187,14 @@
         getWorkersWithFree: accelerators => workersByFree[accelerators] ?? NO_WORKERS,
         addTask: (workerId, task) => {
             const worker = getWorker(workerId);
-            result.invariant(!worker.tasks.has(task.taskId), result.InvariantCode.AcceleratorTwice, task.taskId);
+            result.invariant(!worker.tasks.has(task.taskId), result.InvariantCode.TaskPlacedTwice, task.taskId);
             updateWorker(worker, () => {
                 worker.tasks.set(task.taskId, task);
                 worker.free = needs.subtractNeeds(worker.free, task.needs);
             });
             result.invariant(
                 worker.free.accelerators >= 0,
-                result.InvariantCode.BooksNegative,
+                result.InvariantCode.ResourcesOverbooked,
                 `${workerId} ${task.taskId}`,
             );
             addUse(task.account, task.needs.accelerators);
--- a/src/queue/zoneQueue.ts
+++ b/src/queue/zoneQueue.ts
@@ -260,7 +260,7 @@
         switch (decision.kind) {
             case "start": {
                 const entry = entries.get(decision.job.jobId);
-                result.invariant(entry, result.InvariantCode.MissingResult, decision.job.jobId);
+                result.invariant(entry, result.InvariantCode.JobNotQueued, decision.job.jobId);
                 counters.increment("jobs.placed");
                 startAttempt(entry, () => attempts.run(entry, decision.members));
                 return;
--- a/src/result/invariant.ts
+++ b/src/result/invariant.ts
@@ -1,10 +1,10 @@
 /** Numbered assertions about the program's own state. A failure is a bug in this program, never an invalid input. */
 export const InvariantCode = {
-    BooksNegative: 1,
-    AcceleratorTwice: 2,
+    ResourcesOverbooked: 1,
+    TaskPlacedTwice: 2,
     RevisionDecreased: 3,
     UnknownWorker: 4,
-    MissingResult: 5,
+    JobNotQueued: 5,
 } as const;
 export type InvariantCode = typeof InvariantCode[keyof typeof InvariantCode];
 
--- a/src/scenario/runScenario.ts
+++ b/src/scenario/runScenario.ts
@@ -65,10 +65,10 @@
         retry,
         writesPerSecond: 2000,
         readsPerSecond: 5000,
-        breakerFailures: 3,
+        maxConsecutiveFailures: 3,
         maxWaitMs: 2000,
     });
-    const store = jobs.createJobStore({ table: guardedTable, clock: time, retry, resolveMs: 3000 });
+    const store = jobs.createJobStore({ table: guardedTable, clock: time, retry, resolveTimeoutMs: 3000 });
     const site = createSite(scenario, options.policy);
     let preset = site.preset;
     let revision = 1;
