--- a/src/peer/connections.ts
+++ b/src/peer/connections.ts
@@ -1,7 +1,7 @@
 /** gRPC connections to other instances: one channel per address, opened on first use. */
 import * as grpc from "@grpc/grpc-js";
 import type * as observe from "../observe/index";
-import type * as tlsFiles from "./credentials";
+import type * as peerCredentials from "./credentials";
 import * as generated from "./peer.generated";
 import type * as peerService from "./peerService";
 import * as server from "./server";
@@ -25,7 +25,7 @@
 }
 
 interface ConnectionOptions {
-    readonly credentials: tlsFiles.PeerCredentials;
+    readonly credentials: peerCredentials.PeerCredentials;
     readonly counters: observe.Counters;
     /** Whether this instance can reach a zone; tests simulate a network partition with it. */
     readonly isLinkUp: (zone: string) => boolean;
--- a/src/peer/server.ts
+++ b/src/peer/server.ts
@@ -1,7 +1,7 @@
 /** gRPC server of an instance's peer service. */
 import * as grpc from "@grpc/grpc-js";
 import * as result from "../result/index";
-import type * as tlsFiles from "./credentials";
+import type * as peerCredentials from "./credentials";
 import * as generated from "./peer.generated";
 import type * as peerService from "./peerService";
 
@@ -20,7 +20,7 @@
 export async function startPeerServer(
     address: string,
     service: peerService.PeerService,
-    credentials: tlsFiles.PeerCredentials,
+    credentials: peerCredentials.PeerCredentials,
 ): Promise<PeerServer> {
     const server = new grpc.Server({
         "grpc.max_receive_message_length": MAX_MESSAGE_BYTES,
--- a/src/queue/scheduler.ts
+++ b/src/queue/scheduler.ts
@@ -68,14 +68,14 @@
     readonly drained: ReadonlySet<string>;
 }
 
-/** Creates a scheduler without jobs or homes; it places jobs first in, first out until `setTerms` is called. */
+/** Creates a scheduler without jobs or homes; it places jobs first in, first out until `setConfig` is called. */
 export function createScheduler(time: clock.Clock, shapes: readonly placement.WorkerShape[]): Scheduler {
     const fleet = placement.createFleet(shapes);
     const runTimePredictor = predictor.createPredictor();
     const queue = jobQueue.createJobQueue(job => runTimePredictor.predict(job.account, job.jobClass, job.declaredMs));
     const running = new Map<string, RunningJob>();
     const state: decisionState.DecisionState = {
-        fleet: fleet,
+        fleet,
         queue,
         running,
         predictor: runTimePredictor,
@@ -111,7 +111,7 @@
     };
 
     return {
-        fleet: fleet,
+        fleet,
         queue,
         running,
         predictor: runTimePredictor,
--- a/src/queue/zoneQueue.ts
+++ b/src/queue/zoneQueue.ts
@@ -70,7 +70,7 @@
 /** The zone's rows are read again once in this many housekeeping rounds. */
 const RESCAN_INTERVAL_ROUNDS = 10;
 
-/** Creates the queue; it takes reports at once, and loads and runs jobs once `own` is called. */
+/** Creates the queue; it takes reports at once, and loads and runs jobs once `run` is called. */
 export function createZoneQueue(options: ZoneQueueOptions): ZoneQueue {
     const { zone, clock: time, counters, log, store } = options;
     const entries = new Map<string, queueEntry.QueueEntry>();
